--- a/internal/fair/fair.go
+++ b/internal/fair/fair.go
@@ -1,7 +1,7 @@
-// Package fair decides which organisation the next free slot of a pool goes
-// to. A Policy sees the organisations that have work waiting, at this router
-// or elsewhere, and what the fleet has served them; it is a plain state
-// machine, driven by one goroutine.
+// Package fair decides which organisation gets the next free slot of a pool.
+// A Policy is given the organisations that have requests waiting, at this
+// router or at others, and how much the fleet has served each of them. It is a
+// plain state machine, driven by one goroutine.
 package fair
 
 import (
@@ -13,83 +13,85 @@
 	"github.com/pkg/errors"
 )
 
-// ErrUnknownPolicy means that no policy of that name is registered.
+// ErrUnknownPolicy is returned for a name under which no policy is registered.
 var ErrUnknownPolicy = errors.New("unknown policy")
 
-// Reach says where a policy looks for work when a slot is free.
+// Reach says at which routers a policy looks for waiting requests when a slot
+// is free.
 type Reach int
 
 const (
 	// ReachLocal serves only requests that wait at this router.
 	ReachLocal Reach = iota
-	// ReachIdle looks at other routers only when nothing waits here.
+	// ReachIdle serves other routers' requests only when none wait here.
 	ReachIdle
-	// ReachFleet weighs work at all routers alike.
+	// ReachFleet treats requests alike wherever they wait.
 	ReachFleet
 )
 
-// Candidate is an organisation with work waiting in a pool.
+// Candidate is an organisation with requests waiting for a pool.
 type Candidate struct {
 	Organisation string
 	Weight       float64
 	// Local is the number of requests that wait at this router.
 	Local int
-	// Remote is the number that other routers last said wait with them.
+	// Remote is the number that wait at other routers, as last reported.
 	Remote int
 	// Oldest is when the longest-waiting local request arrived.
 	Oldest time.Time
 }
 
-// Standing is what the fleet view tells of one organisation in a pool.
+// Standing is the state of one organisation in a pool according to the fleet view.
 type Standing struct {
 	Organisation string
 	Weight       float64
 	// Served is the number of cost units served since the last view.
 	Served float64
-	// Backlogged is set while work waits somewhere in the fleet.
+	// Backlogged is set while any router of the fleet has a backlog of its requests.
 	Backlogged bool
 }
 
-// View is the fleet as a router sees it.
+// View is the state of the fleet as known to a router.
 type View struct {
 	Standings []Standing
-	// Age is how old the view is, in periods between two views.
+	// Age is the age of the view, in intervals between two views.
 	Age float64
 }
 
-// Policy picks organisations. It keeps its own accounts; all costs are in
-// cost units, which are generated tokens.
+// Policy chooses which organisation is served next. It keeps its own accounts
+// of what each was charged. All costs are in cost units: generated tokens.
 type Policy interface {
-	// Reach says where to look for work.
+	// Reach says at which routers to look for waiting requests.
 	Reach() Reach
 	// Pick returns the index of the candidate to serve next. There is at
 	// least one candidate.
 	Pick(candidates []Candidate) int
-	// Charge books cost to an organisation: an estimate at dispatch, then
-	// corrections, which may be negative.
+	// Charge adds cost to an organisation's account: an estimate at dispatch,
+	// then corrections, which may be negative.
 	Charge(organisation string, cost float64)
-	// Urgent reports whether an organisation is behind the others, so that
-	// its new requests should be announced at once.
+	// Urgent reports whether an organisation has received so much less than its
+	// share that its new requests should be announced to other routers at once.
 	Urgent(organisation string) bool
-	// Observe takes a new fleet view.
+	// Observe updates the policy with a new fleet view.
 	Observe(v View)
 }
 
-// Default is the policy that pools get when nothing else is said.
+// Default is the policy of pools that configure none.
 const Default = "share"
 
 type constructor func(r *rand.Rand) Policy
 
-// registry holds the policies by name. A new policy adds a line.
+// registry holds the policies by name.
 var registry = map[string]constructor{
 	"fifo":   func(*rand.Rand) Policy { return newFIFO() },
-	"local":  func(*rand.Rand) Policy { return newLowest(ReachLocal) },
-	"steal":  func(*rand.Rand) Policy { return newLowest(ReachIdle) },
+	"local":  func(*rand.Rand) Policy { return newLeastServed(ReachLocal) },
+	"steal":  func(*rand.Rand) Policy { return newLeastServed(ReachIdle) },
 	"greedy": func(*rand.Rand) Policy { return newGreedy() },
 	"share":  func(r *rand.Rand) Policy { return newShare(r) },
 }
 
-// New returns a fresh policy by name; r breaks ties.
+// New returns a new policy of a registered kind. Policies that need randomness
+// take it from r.
 func New(name string, r *rand.Rand) (Policy, error) {
 	if name == "default" {
 		name = Default
@@ -101,11 +103,11 @@
 	return c(r), nil
 }
 
-// Known reports whether a policy of that name exists.
+// Known reports whether New accepts a name.
 func Known(name string) bool {
 	_, ok := registry[name]
 	return ok || name == "default"
 }
 
-// Names returns the registered names, sorted.
+// Names returns the names of all registered policies, sorted.
 func Names() []string { return slices.Sorted(maps.Keys(registry)) }
--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -25,7 +25,7 @@
 	RunSpecs(t, "fair")
 }
 
-// A policy picks an organisation for each free slot and is charged for it.
+// A policy picks an organisation for each free slot, and is told the cost by Charge.
 func ExampleNew() {
 	policy, err := fair.New("local", rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
@@ -57,7 +57,7 @@
 func (i *item) Arrived() time.Time   { return i.arrived }
 
 var _ = Describe("Queue", func() {
-	It("does what a sorted list does", func() {
+	It("behaves like a sorted list", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			g := NewWithT(t)
 			var queue fair.Queue[*item]
@@ -113,10 +113,10 @@
 	return a.deadline.Before(b.deadline)
 }
 
-// sharing runs several routers' policies side by side with views that are a
-// while old, and returns the largest gap in weighted service, in units of
-// the largest request.
-func sharing(policy string, routers, organisations, rounds, age int, seed uint64) float64 {
+// maxServiceGap simulates the policies of several routers, which get a fleet view
+// every age rounds, and returns the largest gap in weighted service between two
+// organisations, in units of the largest request.
+func maxServiceGap(policy string, routers, organisations, rounds, age int, seed uint64) float64 {
 	const largest = 400.0
 	random := rand.New(rand.NewPCG(seed, 7))
 	policies := make([]fair.Policy, routers)
@@ -137,7 +137,7 @@
 		p.Charge(candidates[o].Organisation, cost)
 		served[o] += cost
 		if round%age == age-1 {
-			observe(policies, candidates, served, viewed)
+			observeAll(policies, candidates, served, viewed)
 		}
 		low, high := served[0]/candidates[0].Weight, served[0]/candidates[0].Weight
 		for i := range served {
@@ -148,7 +148,7 @@
 	return worst
 }
 
-func observe(policies []fair.Policy, candidates []fair.Candidate, served, viewed []float64) {
+func observeAll(policies []fair.Policy, candidates []fair.Candidate, served, viewed []float64) {
 	for _, p := range policies {
 		var standings []fair.Standing
 		for i, c := range candidates {
@@ -165,7 +165,7 @@
 	DescribeTable(
 		"keep the gap bounded", func(routers, age int, bound float64) {
 			for seed := range uint64(5) {
-				Expect(sharing("share", routers, 8, 20000, age, seed)).To(BeNumerically("<", bound))
+				Expect(maxServiceGap("share", routers, 8, 20000, age, seed)).To(BeNumerically("<", bound))
 			}
 		},
 		Entry("1 router", 1, 50, 4.0),
@@ -173,13 +173,13 @@
 		Entry("64 routers", 64, 1600, 30.0),
 	)
 
-	It("does not let the gap grow with time, as fairness router by router does not either when all hold all work", func() {
-		short := sharing("share", 8, 8, 10000, 400, 1)
-		long := sharing("share", 8, 8, 100000, 400, 1)
+	It("keeps the gap from growing with time", func() {
+		short := maxServiceGap("share", 8, 8, 10000, 400, 1)
+		long := maxServiceGap("share", 8, 8, 100000, 400, 1)
 		Expect(long).To(BeNumerically("<", 2*short+2))
 	})
 
-	It("serves a newcomer from now on, with no credit for its idle time", func() {
+	It("gives a newly active organisation no credit for its idle time", func() {
 		for _, name := range []string{"local", "steal", "share"} {
 			p, err := fair.New(name, rand.New(rand.NewPCG(1, 1)))
 			Expect(err).NotTo(HaveOccurred())
@@ -200,7 +200,7 @@
 		}
 	})
 
-	It("gives no credit for requests that found a slot free", func() {
+	It("gives no credit for requests that arrived while a slot was free", func() {
 		p, err := fair.New("local", rand.New(rand.NewPCG(1, 1)))
 		Expect(err).NotTo(HaveOccurred())
 		a := fair.Candidate{Organisation: "a", Weight: 1, Local: 1}
@@ -242,7 +242,7 @@
 		Entry("none", func(float64, *rand.Rand) float64 { return 0 }),
 		Entry("exact", func(c float64, _ *rand.Rand) float64 { return c }),
 		Entry("ten times too low", func(c float64, _ *rand.Rand) float64 { return c / 10 }),
-		Entry("always the same lie", func(float64, *rand.Rand) float64 { return 1 }),
+		Entry("constant", func(float64, *rand.Rand) float64 { return 1 }),
 		Entry("wrong by up to ten times", func(c float64, r *rand.Rand) float64 { return c * (0.1 + r.Float64()*9.9) }),
 	)
 })
--- a/internal/fair/queue.go
+++ b/internal/fair/queue.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Item is what a Queue orders: by priority, then deadline, then arrival.
+// Item is an element of a Queue. Items are ordered by priority, highest first,
+// then by deadline, then in the order in which they were pushed.
 type Item interface {
 	Organisation() string
 	Priority() int
@@ -13,12 +14,12 @@
 	Arrived() time.Time
 }
 
-// Queue holds waiting items, one line per organisation. The zero value is
-// empty and ready for use.
+// Queue holds waiting items in one priority queue per organisation. The zero
+// value is empty and ready for use.
 type Queue[T Item] struct {
-	lines map[string]*line[T]
-	size  int
-	next  uint64
+	heaps        map[string]*itemHeap[T]
+	size         int
+	lastSequence uint64
 }
 
 type entry[T Item] struct {
@@ -27,106 +28,107 @@
 	index    int
 }
 
-type line[T Item] struct {
+type itemHeap[T Item] struct {
 	entries []*entry[T]
 }
 
-// Handle finds an item again for removal.
+// Handle refers to an item in a Queue, for Remove.
 type Handle[T Item] struct{ entry *entry[T] }
 
 // Push adds an item and returns its handle.
 func (q *Queue[T]) Push(item T) Handle[T] {
-	if q.lines == nil {
-		q.lines = make(map[string]*line[T])
+	if q.heaps == nil {
+		q.heaps = make(map[string]*itemHeap[T])
 	}
-	l := q.lines[item.Organisation()]
-	if l == nil {
-		l = &line[T]{}
-		q.lines[item.Organisation()] = l
+	hp := q.heaps[item.Organisation()]
+	if hp == nil {
+		hp = &itemHeap[T]{}
+		q.heaps[item.Organisation()] = hp
 	}
-	q.next++
+	q.lastSequence++
 	q.size++
-	e := &entry[T]{item: item, sequence: q.next}
-	heap.Push(l, e)
+	e := &entry[T]{item: item, sequence: q.lastSequence}
+	heap.Push(hp, e)
 	return Handle[T]{e}
 }
 
 // Pop removes and returns an organisation's first item.
 func (q *Queue[T]) Pop(organisation string) (T, bool) {
-	l := q.lines[organisation]
-	if l == nil {
+	hp := q.heaps[organisation]
+	if hp == nil {
 		var zero T
 		return zero, false
 	}
-	e := heap.Pop(l).(*entry[T])
-	q.removed(organisation, l)
+	e := heap.Pop(hp).(*entry[T])
+	q.itemRemoved(organisation, hp)
 	return e.item, true
 }
 
 // Peek returns an organisation's first item without removing it.
 func (q *Queue[T]) Peek(organisation string) (T, bool) {
-	l := q.lines[organisation]
-	if l == nil {
+	hp := q.heaps[organisation]
+	if hp == nil {
 		var zero T
 		return zero, false
 	}
-	return l.entries[0].item, true
+	return hp.entries[0].item, true
 }
 
-// Remove takes an item out of the middle of the queue. It reports whether
-// the item was still waiting.
+// Remove removes an item at any position. It reports whether the item was
+// still waiting.
 func (q *Queue[T]) Remove(h Handle[T]) bool {
 	if h.entry == nil || h.entry.index < 0 {
 		return false
 	}
 	organisation := h.entry.item.Organisation()
-	l := q.lines[organisation]
-	heap.Remove(l, h.entry.index)
-	q.removed(organisation, l)
+	hp := q.heaps[organisation]
+	heap.Remove(hp, h.entry.index)
+	q.itemRemoved(organisation, hp)
 	return true
 }
 
-func (q *Queue[T]) removed(organisation string, l *line[T]) {
+func (q *Queue[T]) itemRemoved(organisation string, hp *itemHeap[T]) {
 	q.size--
-	if len(l.entries) == 0 {
-		delete(q.lines, organisation)
+	if len(hp.entries) == 0 {
+		delete(q.heaps, organisation)
 	}
 }
 
-// Len returns the number of items that wait for an organisation.
+// Len returns the number of an organisation's items.
 func (q *Queue[T]) Len(organisation string) int {
-	l := q.lines[organisation]
-	if l == nil {
+	hp := q.heaps[organisation]
+	if hp == nil {
 		return 0
 	}
-	return len(l.entries)
+	return len(hp.entries)
 }
 
-// Size returns the number of items in all.
+// Size returns the number of items of all organisations.
 func (q *Queue[T]) Size() int { return q.size }
 
-// Each calls f with every organisation that has items waiting, in no order.
+// Each calls f with every organisation that has items waiting, in no
+// particular order.
 func (q *Queue[T]) Each(f func(organisation string, waiting int)) {
-	for name, l := range q.lines {
-		f(name, len(l.entries))
+	for name, hp := range q.heaps {
+		f(name, len(hp.entries))
 	}
 }
 
-// Items calls f with every waiting item, in no order.
+// Items calls f with every waiting item, in no particular order.
 func (q *Queue[T]) Items(f func(T)) {
-	for _, l := range q.lines {
-		for _, e := range l.entries {
+	for _, hp := range q.heaps {
+		for _, e := range hp.entries {
 			f(e.item)
 		}
 	}
 }
 
-// The methods below are for package container/heap.
+// The methods below implement heap.Interface.
 
-func (l *line[T]) Len() int { return len(l.entries) }
+func (hp *itemHeap[T]) Len() int { return len(hp.entries) }
 
-func (l *line[T]) Less(i, j int) bool {
-	a, b := l.entries[i], l.entries[j]
+func (hp *itemHeap[T]) Less(i, j int) bool {
+	a, b := hp.entries[i], hp.entries[j]
 	if a.item.Priority() != b.item.Priority() {
 		return a.item.Priority() > b.item.Priority()
 	}
@@ -136,23 +138,23 @@
 	return a.sequence < b.sequence
 }
 
-func (l *line[T]) Swap(i, j int) {
-	l.entries[i], l.entries[j] = l.entries[j], l.entries[i]
-	l.entries[i].index = i
-	l.entries[j].index = j
+func (hp *itemHeap[T]) Swap(i, j int) {
+	hp.entries[i], hp.entries[j] = hp.entries[j], hp.entries[i]
+	hp.entries[i].index = i
+	hp.entries[j].index = j
 }
 
-func (l *line[T]) Push(x any) {
+func (hp *itemHeap[T]) Push(x any) {
 	e := x.(*entry[T])
-	e.index = len(l.entries)
-	l.entries = append(l.entries, e)
+	e.index = len(hp.entries)
+	hp.entries = append(hp.entries, e)
 }
 
-func (l *line[T]) Pop() any {
-	last := len(l.entries) - 1
-	e := l.entries[last]
-	l.entries[last] = nil
-	l.entries = l.entries[:last]
+func (hp *itemHeap[T]) Pop() any {
+	last := len(hp.entries) - 1
+	e := hp.entries[last]
+	hp.entries[last] = nil
+	hp.entries = hp.entries[:last]
 	e.index = -1
 	return e
 }
--- a/internal/fair/share.go
+++ b/internal/fair/share.go
@@ -8,71 +8,76 @@
 )
 
 const (
-	// catchUp is the number of view periods over which a gap is closed; it is
-	// at least agedCatchUp times the view's age. A correction shows in the
-	// view only after that age, and a quicker one overshoots.
-	catchUp     = 4
-	agedCatchUp = 2
-	// minBoost and maxBoost bound the correction of an organisation's share,
-	// so that a wrong account cannot starve anyone.
+	// The share of an organisation that is ahead or behind is corrected so that
+	// the gap closes over catchUpViews views, or over catchUpPerViewAge times the
+	// view's age if that is longer: a correction shows in the view only after
+	// that age, and a faster one overshoots.
+	catchUpViews      = 4
+	catchUpPerViewAge = 2
+	// minBoost and maxBoost bound the factor by which an organisation's share
+	// is corrected, so that a wrong account cannot withhold all service from it.
 	minBoost = 0.2
 	maxBoost = 3
-	// urgentBoost is the correction from which an organisation is urgent.
-	urgentBoost = 1.1
-	// smoothing is the weight of the newest view in the fleet's rate.
+	// minUrgentBoost is the correction above which an organisation is urgent.
+	minUrgentBoost = 1.1
+	// smoothing is the weight of the newest value in the exponential moving
+	// averages of the fleet's service per view and of the cost of a request.
 	smoothing = 0.3
-	// maxCredit bounds a credit, in typical requests, for an organisation
-	// whose work this router cannot get hold of for long.
-	maxCredit = 20
+	// maxCreditRequests bounds an organisation's credit, in requests of mean cost. It
+	// matters where this router finds no request of an organisation for long.
+	maxCreditRequests = 20
 )
 
-// share gives each backlogged organisation a target share of the tokens,
-// its weight corrected a little for being ahead or behind in the fleet view.
-// The router follows the shares with exact credits of its own. Acting on
-// shares, and not on who is lowest in a view that is seconds old, keeps
-// routers from all serving the same organisation at once.
+// share gives each backlogged organisation a target share of the tokens:
+// its weight, corrected for being ahead or behind in the fleet view. Credits
+// that are exact and local to the router make it follow these shares. Choosing
+// by share, and not the organisation with the least service in a view that is
+// seconds old, keeps all routers from serving the same organisation at once.
 type share struct {
 	random   *rand.Rand
 	accounts map[string]*account
-	// active are the accounts that earn credit: those that were candidates at
-	// the last Pick, and those that the fleet view calls backlogged. The
-	// latter earn also while this router knows of no work of theirs that it
-	// could take; that its knowledge is late must not cost them.
-	active []*account
-	sum    float64
-	epoch  uint64
-	// front is the credit of whoever was served last, before its charge.
-	front float64
+	// active are the accounts that earn credit: those of the candidates at the
+	// last Pick, and those backlogged in the fleet view. The latter earn credit
+	// also while this router knows of no request of theirs that it could serve,
+	// so that they lose nothing by its outdated knowledge.
+	active      []*account
+	fractionSum float64
+	picks       uint64
+	// lastServedCredit is the credit of the organisation picked last, before its
+	// charge.
+	lastServedCredit float64
 	// dispatched is the sum of all charges.
 	dispatched float64
-	// typical is a smoothed request cost.
-	typical float64
-	// rate is the smoothed service of backlogged organisations per view.
-	rate float64
+	// meanCost is the moving average of the cost of a request.
+	meanCost float64
+	// serviceRate is the moving average of the service of all backlogged
+	// organisations, in cost units per view.
+	serviceRate float64
 }
 
-// account is what a router holds of one organisation.
+// account is the state of one organisation.
 type account struct {
 	weight float64
-	// credit is what it is owed at this router, in cost units.
+	// credit is the service that this router owes it, in cost units.
 	credit float64
-	// part is its part of each charge while it is active.
-	part   float64
-	active bool
-	// left is the value of dispatched when it was last active.
-	left float64
-	// epoch is that of the last Pick at which it was a candidate.
-	epoch uint64
-	// served is its service in the fleet view, by weight.
+	// fraction is the part of each charge that it earns as credit while active.
+	fraction float64
+	active   bool
+	// dispatchedWhenInactive is the value of share.dispatched when it became inactive.
+	dispatchedWhenInactive float64
+	// lastPick is the value of share.picks at the last Pick with it as a candidate.
+	lastPick uint64
+	// served is its service in the fleet view, divided by its weight.
 	served     float64
 	backlogged bool
-	boost      float64
+	// boost is the factor that corrects its weight for being ahead or behind.
+	boost float64
 }
 
 func newShare(r *rand.Rand) *share {
 	return &share{
 		random:   r,
-		typical:  firstEstimate,
+		meanCost: initialEstimate,
 		accounts: map[string]*account{},
 	}
 }
@@ -80,20 +85,20 @@
 func (*share) Reach() Reach { return ReachFleet }
 
 func (s *share) Pick(candidates []Candidate) int {
-	s.epoch++
+	s.picks++
 	for _, c := range candidates {
 		a := s.account(c.Organisation)
-		a.weight, a.epoch = c.Weight, s.epoch
+		a.weight, a.lastPick = c.Weight, s.picks
 	}
-	s.refresh(candidates)
-	invariant.Check(math.Abs(s.sum-1) < 1e-6, invariant.CreditsBalance)
+	s.updateActive(candidates)
+	invariant.Check(math.Abs(s.fractionSum-1) < 1e-6, invariant.CreditsBalance)
 	best := 0
 	for i, c := range candidates {
 		if s.accounts[c.Organisation].credit > s.accounts[candidates[best].Organisation].credit {
 			best = i
 		}
 	}
-	s.front = s.accounts[candidates[best].Organisation].credit
+	s.lastServedCredit = s.accounts[candidates[best].Organisation].credit
 	return best
 }
 
@@ -106,13 +111,13 @@
 	return a
 }
 
-// refresh works out who is active and with which part of the charges.
-func (s *share) refresh(candidates []Candidate) {
-	top := s.top(candidates)
+// updateActive updates the active accounts and their fractions of the charges.
+func (s *share) updateActive(candidates []Candidate) {
+	top := s.maxActiveCredit(candidates)
 	kept := s.active[:0]
 	var gone []*account
 	for _, a := range s.active {
-		if a.epoch == s.epoch || a.backlogged {
+		if a.lastPick == s.picks || a.backlogged {
 			kept = append(kept, a)
 			continue
 		}
@@ -120,18 +125,19 @@
 	}
 	s.active = kept
 	for _, a := range gone {
-		s.leave(a)
+		s.deactivate(a)
 	}
 	for _, c := range candidates {
-		s.enter(s.accounts[c.Organisation], top)
+		s.activate(s.accounts[c.Organisation], top)
 	}
-	s.divide()
+	s.setFractions()
 }
 
-// leave makes an account inactive. Credit that it has beyond the mean of those
-// who stay is handed back to them: it is for service that it did not want.
-func (s *share) leave(a *account) {
-	a.active, a.left = false, s.dispatched
+// deactivate makes an account inactive. Its credit above the mean of the accounts
+// that stay active is divided among these, since the organisation had no
+// requests that would have used it.
+func (s *share) deactivate(a *account) {
+	a.active, a.dispatchedWhenInactive = false, s.dispatched
 	if len(s.active) == 0 {
 		return
 	}
@@ -150,39 +156,40 @@
 	}
 }
 
-// enter makes an account active. It is forgiven what it would have earned
-// while it was away, but never gets beyond top: idle time earns no credit. A
-// random phase keeps routers from serving newcomers in step.
-func (s *share) enter(a *account, top float64) {
+// activate makes an account active. It is given the credit that it would have
+// earned while inactive, up to top: idle time must not put it ahead of the
+// others. A new account starts at a random distance below top, so that not all
+// routers serve a new organisation at the same moment.
+func (s *share) activate(a *account, top float64) {
 	if a.active {
 		return
 	}
-	earned := a.part * (s.dispatched - a.left)
-	if a.part == 0 {
-		earned = top - a.credit - s.random.Float64()*s.typical
+	earned := a.fraction * (s.dispatched - a.dispatchedWhenInactive)
+	if a.fraction == 0 {
+		earned = top - a.credit - s.random.Float64()*s.meanCost
 	}
 	a.credit = min(a.credit+earned, top)
 	a.active = true
 	s.active = append(s.active, a)
 }
 
-// divide works out the parts of the active accounts, which sum to 1.
-func (s *share) divide() {
+// setFractions computes the fractions of the active accounts, which sum to 1.
+func (s *share) setFractions() {
 	total := 0.0
 	for _, a := range s.active {
 		total += a.weight * a.boost
 	}
-	s.sum = 0
+	s.fractionSum = 0
 	for _, a := range s.active {
-		a.part = a.weight * a.boost / total
-		s.sum += a.part
+		a.fraction = a.weight * a.boost / total
+		s.fractionSum += a.fraction
 	}
 }
 
-// top returns the largest credit among the candidates that were already
-// active, or if there are none that of the last one served.
-func (s *share) top(candidates []Candidate) float64 {
-	top, known := s.front, false
+// maxActiveCredit returns the largest credit among the candidates that are
+// already active, or the credit of the organisation picked last if none is.
+func (s *share) maxActiveCredit(candidates []Candidate) float64 {
+	top, known := s.lastServedCredit, false
 	for _, c := range candidates {
 		a := s.accounts[c.Organisation]
 		if a.active && (!known || a.credit > top) {
@@ -194,24 +201,24 @@
 
 func (s *share) Charge(organisation string, cost float64) {
 	if cost > 0 {
-		s.typical += smoothing * (cost - s.typical)
+		s.meanCost += smoothing * (cost - s.meanCost)
 	}
 	s.dispatched += cost
-	most := maxCredit * s.typical
+	maxCredit := maxCreditRequests * s.meanCost
 	for _, a := range s.active {
-		a.credit = min(a.credit+a.part*cost, most)
+		a.credit = min(a.credit+a.fraction*cost, maxCredit)
 	}
 	s.account(organisation).credit -= cost
 }
 
 func (s *share) Urgent(organisation string) bool {
 	a := s.accounts[organisation]
-	return a != nil && a.backlogged && a.boost > urgentBoost
+	return a != nil && a.backlogged && a.boost > minUrgentBoost
 }
 
 func (s *share) Observe(v View) {
 	standings := v.Standings
-	s.book(standings)
+	s.addServed(standings)
 	total, weights, served := 0.0, 0.0, 0.0
 	for _, st := range standings {
 		if !st.Backlogged {
@@ -224,12 +231,12 @@
 	if weights == 0 {
 		return
 	}
-	if s.rate == 0 {
-		s.rate = served
+	if s.serviceRate == 0 {
+		s.serviceRate = served
 	}
-	s.rate += smoothing * (served - s.rate)
+	s.serviceRate += smoothing * (served - s.serviceRate)
 	mean := total / weights
-	span := max(catchUp, agedCatchUp*v.Age) * max(s.rate, s.typical) / weights
+	span := max(catchUpViews, catchUpPerViewAge*v.Age) * max(s.serviceRate, s.meanCost) / weights
 	for _, st := range standings {
 		a := s.accounts[st.Organisation]
 		a.boost = 1
@@ -239,11 +246,12 @@
 	}
 }
 
-// book adds what was served and brings organisations that have just become
-// backlogged into the range of those that already were: idle time earns no
-// credit, and service taken while nobody else wanted it is no debt.
-func (s *share) book(standings []Standing) {
-	low, high, known := s.span(standings)
+// addServed adds the service since the last view. An organisation that has just
+// become backlogged is moved into the range of those that already were: it is
+// not favoured for idle time, nor penalised for service received while nobody
+// else wanted it.
+func (s *share) addServed(standings []Standing) {
+	low, high, known := s.servedRange(standings)
 	for _, st := range standings {
 		a := s.account(st.Organisation)
 		a.weight = st.Weight
@@ -259,9 +267,9 @@
 	}
 }
 
-// span returns the least and the largest account of the organisations that
-// were backlogged before and still are.
-func (s *share) span(standings []Standing) (low, high float64, known bool) {
+// servedRange returns the range of weighted service of the organisations that
+// were backlogged in the last view and still are.
+func (s *share) servedRange(standings []Standing) (low, high float64, known bool) {
 	for _, st := range standings {
 		a := s.accounts[st.Organisation]
 		if a == nil || !a.backlogged || !st.Backlogged {
--- a/internal/fair/simple.go
+++ b/internal/fair/simple.go
@@ -1,7 +1,7 @@
 package fair
 
-// fifo serves whoever has waited longest at this router, and others' work
-// when nothing waits here.
+// fifo serves the organisation whose oldest request has waited longest at this
+// router. When none wait here it serves other routers' requests.
 type fifo struct{}
 
 func newFIFO() *fifo { return &fifo{} }
@@ -11,14 +11,14 @@
 func (*fifo) Pick(candidates []Candidate) int {
 	best := 0
 	for i, c := range candidates {
-		if older(c, candidates[best]) {
+		if waitedLonger(c, candidates[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-func older(a, b Candidate) bool {
+func waitedLonger(a, b Candidate) bool {
 	if (a.Local > 0) != (b.Local > 0) {
 		return a.Local > 0
 	}
@@ -34,81 +34,81 @@
 
 func (*fifo) Observe(View) {}
 
-// lowest serves the organisation to which this router has given least: a
-// virtual token counter as in "Fairness in Serving Large Language Models"
-// (OSDI 2024), kept by each router for itself.
-type lowest struct {
-	reach   Reach
-	account map[string]float64
-	active  map[string]bool
-	// floor is the account, by weight, of whoever was served last.
+// leastServed serves the organisation that this router has served least in
+// proportion to its weight: the virtual token counter of "Fairness in Serving
+// Large Language Models" (OSDI 2024), kept by each router separately.
+type leastServed struct {
+	reach  Reach
+	served map[string]float64
+	active map[string]bool
+	// floor is the weighted service of the organisation picked last.
 	floor float64
 }
 
-func newLowest(reach Reach) *lowest {
-	return &lowest{reach: reach, account: map[string]float64{}, active: map[string]bool{}}
+func newLeastServed(reach Reach) *leastServed {
+	return &leastServed{reach: reach, served: map[string]float64{}, active: map[string]bool{}}
 }
 
-func (l *lowest) Reach() Reach { return l.reach }
+func (l *leastServed) Reach() Reach { return l.reach }
 
-func (l *lowest) Pick(candidates []Candidate) int {
-	l.lift(candidates)
+func (l *leastServed) Pick(candidates []Candidate) int {
+	l.raiseToFloor(candidates)
 	best := 0
 	for i, c := range candidates {
-		if l.normal(c) < l.normal(candidates[best]) {
+		if l.weighted(c) < l.weighted(candidates[best]) {
 			best = i
 		}
 	}
-	l.floor = l.normal(candidates[best])
+	l.floor = l.weighted(candidates[best])
 	return best
 }
 
-func (l *lowest) normal(c Candidate) float64 { return l.account[c.Organisation] / c.Weight }
+func (l *leastServed) weighted(c Candidate) float64 { return l.served[c.Organisation] / c.Weight }
 
-// lift brings organisations that have just become active up to the floor, so
-// that idle time earns no credit: also where nobody else is active, as when
-// requests come and find a slot free.
-func (l *lowest) lift(candidates []Candidate) {
+// raiseToFloor raises the service of organisations that have just become active
+// to the floor, so that idle time earns no credit. It does so also if no other
+// organisation is active, as when requests arrive while a slot is free.
+func (l *leastServed) raiseToFloor(candidates []Candidate) {
 	active := make(map[string]bool, len(candidates))
 	for _, c := range candidates {
 		active[c.Organisation] = true
 		if !l.active[c.Organisation] {
-			l.account[c.Organisation] = max(l.account[c.Organisation], l.floor*c.Weight)
+			l.served[c.Organisation] = max(l.served[c.Organisation], l.floor*c.Weight)
 		}
 	}
 	l.active = active
 }
 
-func (l *lowest) Charge(organisation string, cost float64) { l.account[organisation] += cost }
+func (l *leastServed) Charge(organisation string, cost float64) { l.served[organisation] += cost }
 
-func (*lowest) Urgent(string) bool { return false }
+func (*leastServed) Urgent(string) bool { return false }
 
-func (*lowest) Observe(View) {}
+func (*leastServed) Observe(View) {}
 
-// greedy serves the organisation with the least service in the fleet view,
-// plus what this router has given since. With views seconds old all routers
-// pick the same one; it is here for comparison.
+// greedy serves the organisation with the least service in the fleet view plus
+// this router's charges since that view. As views are seconds old, all routers
+// pick the same organisation; the policy exists for comparison.
 type greedy struct {
-	lowest
-	since map[string]float64
+	leastServed
+	sinceView map[string]float64
 }
 
 func newGreedy() *greedy {
-	return &greedy{lowest: *newLowest(ReachFleet), since: map[string]float64{}}
+	return &greedy{leastServed: *newLeastServed(ReachFleet), sinceView: map[string]float64{}}
 }
 
 func (g *greedy) Charge(organisation string, cost float64) {
-	g.account[organisation] += cost
-	g.since[organisation] += cost
+	g.served[organisation] += cost
+	g.sinceView[organisation] += cost
 }
 
-// Observe replaces this router's own charges by what the fleet served.
+// Observe replaces the charges since the last view by what the fleet served.
 func (g *greedy) Observe(v View) {
-	for organisation, cost := range g.since {
-		g.account[organisation] -= cost
-		delete(g.since, organisation)
+	for organisation, cost := range g.sinceView {
+		g.served[organisation] -= cost
+		delete(g.sinceView, organisation)
 	}
 	for _, s := range v.Standings {
-		g.account[s.Organisation] += s.Served
+		g.served[s.Organisation] += s.Served
 	}
 }
--- a/internal/fleetview/fleetview.go
+++ b/internal/fleetview/fleetview.go
@@ -1,10 +1,11 @@
-// Package fleetview puts the routers' reports together: what the fleet has
-// served to each organisation, who has work waiting, and who has slots free.
+// Package fleetview merges the other routers' reports: how much they have
+// served each organisation, where requests wait, and which routers have free
+// slots.
 //
-// Reports carry service as a counter that starts at zero with each
-// incarnation. The view adds up differences, never the counters themselves,
+// Reports carry the service as a counter that starts at zero with each
+// incarnation. The view adds up the increments, never the counters themselves,
 // so that a router that dies takes nothing out of the sums and one that
-// comes back is not counted twice.
+// restarts is not counted twice.
 package fleetview
 
 import (
@@ -18,7 +19,7 @@
 	"github.com/stepcroft/stepcroft/internal/message"
 )
 
-// View is one router's picture of the others. Use New to make one.
+// View is one router's merged view of the others. Use New to make one.
 type View struct {
 	random  *rand.Rand
 	routers map[message.RouterID]*router
@@ -28,56 +29,58 @@
 type router struct {
 	incarnation uint64
 	sequence    uint64
-	reported    time.Time
-	service     map[key]uint64
-	// whole is set if all that the incarnation served counts here; otherwise
-	// it was first heard of midway, and the first number heard for an
-	// organisation is only a starting point.
-	whole bool
-	// silent is set once the router is believed dead.
-	silent bool
+	reportedAt  time.Time
+	// served holds the service counters last received.
+	served map[counterKey]uint64
+	// fromStart is set if the incarnation is known from its start, so that all
+	// that it served counts here. Otherwise the first counter received for an
+	// organisation is only the base for later increments.
+	fromStart bool
+	// forgotten is set while the router is believed dead, see Forget.
+	forgotten bool
 }
 
-type key struct{ pool, organisation string }
+type counterKey struct{ pool, organisation string }
 
 type pool struct {
 	free          map[message.RouterID]int
 	organisations map[string]*organisation
-	// from and to bound this router's part of the pool's slots, which are
-	// laid end to end, owner by owner, from 0 to 1.
-	from, to float64
+	// rangeFrom and rangeTo bound the local router's part of the pool's slots,
+	// if the parts of all owners are laid end rangeTo end rangeFrom 0 rangeTo 1.
+	rangeFrom, rangeTo float64
 }
 
 type organisation struct {
-	// served is what was served since the last call of Drain.
+	// served is the service in cost units since the last call of Drain.
 	served  float64
 	waiting map[message.RouterID]work
-	// total sums the work of all routers.
+	// total is the sum over waiting.
 	total work
-	// backlogged are the routers that said that it is backlogged there.
+	// backlogged are the routers that reported a backlog of the organisation.
 	backlogged map[message.RouterID]bool
 }
 
-// work is requests that wait at one router.
+// work counts an organisation's requests that wait at one router.
 type work struct {
 	waiting int
-	// quota is how many of them this router may grant slots to before the
-	// next report. The owners' quotas sum to what waits, so that they do not
-	// all grant a slot to the same request.
+	// quota is how many of them the local router should grant slots to before
+	// the next report. The quotas of all engine owners add up to the requests
+	// waiting, so that several owners do not grant a slot to the same request.
 	quota int
 }
 
-func (w work) plus(x work) work { return work{w.waiting + x.waiting, w.quota + x.quota} }
+func (w work) add(x work) work { return work{w.waiting + x.waiting, w.quota + x.quota} }
 
-func (w work) minus(x work) work { return work{w.waiting - x.waiting, w.quota - x.quota} }
+func (w work) subtract(x work) work { return work{w.waiting - x.waiting, w.quota - x.quota} }
 
-// New returns an empty view; r picks among holders of work.
+// New returns an empty view; r chooses among routers with work or free slots.
 func New(r *rand.Rand) *View {
 	return &View{random: r, routers: map[message.RouterID]*router{}, pools: map[string]*pool{}}
 }
 
-// Report takes in a report. Reports that arrive late or twice are dropped,
-// and so are reports of an earlier incarnation.
+// Report merges a router's report and reports whether it was used. Reports
+// that arrive out of order or twice are dropped, and so are those of an
+// earlier incarnation.
 func (v *View) Report(from message.RouterID, r message.Report, now time.Time) bool {
 	known := v.routers[from]
 	if known != nil && r.Incarnation < known.incarnation {
@@ -87,20 +90,20 @@
 		return false
 	}
 	if known == nil || known.incarnation != r.Incarnation {
-		whole := known != nil || r.Sequence == 1
-		known = &router{incarnation: r.Incarnation, service: map[key]uint64{}, whole: whole}
+		fromStart := known != nil || r.Sequence == 1
+		known = &router{incarnation: r.Incarnation, served: map[counterKey]uint64{}, fromStart: fromStart}
 		v.routers[from] = known
 	}
 	known.sequence = r.Sequence
-	known.reported = now
-	known.silent = false
-	v.clear(from)
+	known.reportedAt = now
+	known.forgotten = false
+	v.clearRouter(from)
 	for _, p := range r.Pools {
 		v.pool(p.Pool).free[from] = p.Free
 		for _, o := range p.Organisations {
-			v.book(known, p.Pool, o)
-			quota := v.quota(p.Pool, from, o.Organisation, r.Sequence, o.Waiting)
-			v.set(from, p.Pool, o.Organisation, work{o.Waiting, quota})
+			v.addServed(known, p.Pool, o)
+			quota := v.localQuota(p.Pool, from, o.Organisation, r.Sequence, o.Waiting)
+			v.setWork(from, p.Pool, o.Organisation, work{o.Waiting, quota})
 			if o.Backlogged {
 				v.organisation(p.Pool, o.Organisation).backlogged[from] = true
 			}
@@ -109,31 +112,32 @@
 	return true
 }
 
-// book adds what was served since the organisation was last in a report of
-// the router.
-func (v *View) book(r *router, pool string, o message.OrganisationReport) {
-	k := key{pool, o.Organisation}
-	before, listed := r.service[k]
+// addServed adds the service since the router's last report that contained the
+// organisation.
+func (v *View) addServed(r *router, pool string, o message.OrganisationReport) {
+	k := counterKey{pool, o.Organisation}
+	before, listed := r.served[k]
 	invariant.Check(o.Service >= before, invariant.ServiceMonotonic)
-	r.service[k] = max(before, o.Service)
-	if (listed || r.whole) && o.Service > before {
+	r.served[k] = max(before, o.Service)
+	if (listed || r.fromStart) && o.Service > before {
 		v.organisation(pool, o.Organisation).served += float64(o.Service - before)
 	}
 }
 
-// Forget drops what a router has waiting and free; what it served stays.
+// Forget drops the waiting requests and free slots of a router that is believed
+// dead; what it has served stays counted.
 func (v *View) Forget(id message.RouterID) {
 	if r := v.routers[id]; r != nil {
-		r.silent = true
+		r.forgotten = true
 	}
-	v.clear(id)
+	v.clearRouter(id)
 }
 
-func (v *View) clear(id message.RouterID) {
+func (v *View) clearRouter(id message.RouterID) {
 	for _, p := range v.pools {
 		delete(p.free, id)
 		for _, o := range p.organisations {
-			o.total = o.total.minus(o.waiting[id])
+			o.total = o.total.subtract(o.waiting[id])
 			delete(o.waiting, id)
 			delete(o.backlogged, id)
 		}
@@ -143,7 +147,7 @@
 func (v *View) pool(name string) *pool {
 	p := v.pools[name]
 	if p == nil {
-		p = &pool{free: map[message.RouterID]int{}, organisations: map[string]*organisation{}, to: 1}
+		p = &pool{free: map[message.RouterID]int{}, organisations: map[string]*organisation{}, rangeTo: 1}
 		v.pools[name] = p
 	}
 	return p
@@ -159,39 +163,42 @@
 	return o
 }
 
-// Own sets this router's part of a pool's slots: the owners' parts laid end
-// to end from 0 to 1.
+// Own sets the local router's part of a pool's slots, as the range that it
+// covers if the parts of all owners are laid end to end from 0 to 1.
 func (v *View) Own(pool string, from, to float64) {
 	p := v.pool(pool)
-	p.from, p.to = from, to
+	p.rangeFrom, p.rangeTo = from, to
 }
 
-// quota returns this router's part of n requests that wait at a router. All
-// owners cut the same way, at places that change with each report.
-func (v *View) quota(pool string, id message.RouterID, organisation string, sequence uint64, n int) int {
+// localQuota returns how many of n requests that wait at a router fall to the
+// local router. All owners round at the same offset, a hash that changes with
+// each report, so that their quotas add up to n.
+func (v *View) localQuota(pool string, id message.RouterID, organisation string, sequence uint64, n int) int {
 	p := v.pool(pool)
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 	_, _ = h.Write([]byte(organisation))
 	shift := float64((h.Sum64()^sequence*0x9e3779b97f4a7c15)>>11) / (1 << 53)
-	return int(float64(n)*p.to+shift) - int(float64(n)*p.from+shift)
+	return int(float64(n)*p.rangeTo+shift) - int(float64(n)*p.rangeFrom+shift)
 }
 
-// Waiting sets what a router says outside its reports that it has waiting.
+// Waiting sets the number of an organisation's requests that wait at a router,
+// as received in a message other than a report.
 func (v *View) Waiting(id message.RouterID, pool, organisation string, n int) {
 	quota := v.organisation(pool, organisation).waiting[id].quota
-	v.set(id, pool, organisation, work{n, min(quota, n)})
+	v.setWork(id, pool, organisation, work{n, min(quota, n)})
 }
 
-// Asked notes that a router asked this one for a slot, and has n waiting.
+// Asked records that a router asked the local router for a slot, and has n
+// requests of the organisation waiting. It raises the quota by one.
 func (v *View) Asked(id message.RouterID, pool, organisation string, n int) {
 	quota := v.organisation(pool, organisation).waiting[id].quota
-	v.set(id, pool, organisation, work{n, min(quota+1, n)})
+	v.setWork(id, pool, organisation, work{n, min(quota+1, n)})
 }
 
-func (v *View) set(id message.RouterID, pool, organisation string, w work) {
+func (v *View) setWork(id message.RouterID, pool, organisation string, w work) {
 	o := v.organisation(pool, organisation)
-	o.total = o.total.plus(w).minus(o.waiting[id])
+	o.total = o.total.add(w).subtract(o.waiting[id])
 	if w.waiting == 0 {
 		delete(o.waiting, id)
 		return
@@ -199,11 +206,11 @@
 	o.waiting[id] = w
 }
 
-// Free sets the number of free slots that a router has.
+// Free sets the number of free slots of a pool that a router has.
 func (v *View) Free(id message.RouterID, pool string, n int) { v.pool(pool).free[id] = n }
 
-// Remote calls f with each organisation that has work waiting at others, and
-// how much of it is this router's to grant.
+// Remote calls f with each organisation that has requests waiting at other
+// routers, their number, and the local router's quota of them.
 func (v *View) Remote(pool string, f func(organisation string, waiting, quota int)) {
 	p := v.pools[pool]
 	if p == nil {
@@ -216,9 +223,9 @@
 	}
 }
 
-// Holder picks a router that has work waiting for an organisation, at random
-// in proportion to this router's quota of it, or where there is none left in
-// proportion to all of it, and counts one request of it as taken.
+// Holder picks a router at which requests of an organisation wait, and counts
+// one of them as taken. The choice is random, weighted by the local router's
+// quotas or, once these are used up, by the requests waiting.
 func (v *View) Holder(pool, organisation string) (message.RouterID, bool) {
 	o := v.organisation(pool, organisation)
 	weight, total := func(w work) int { return w.quota }, o.total.quota
@@ -232,7 +239,7 @@
 	for _, id := range slices.Sorted(maps.Keys(o.waiting)) {
 		w := o.waiting[id]
 		if n < weight(w) {
-			v.set(id, pool, organisation, work{w.waiting - 1, max(w.quota-1, 0)})
+			v.setWork(id, pool, organisation, work{w.waiting - 1, max(w.quota-1, 0)})
 			return id, true
 		}
 		n -= weight(w)
@@ -240,7 +247,7 @@
 	return "", false
 }
 
-// AnyFree reports whether some router is believed to have a free slot.
+// AnyFree reports whether any router has a free slot as far as is known.
 func (v *View) AnyFree(pool string) bool {
 	p := v.pools[pool]
 	if p == nil {
@@ -254,8 +261,8 @@
 	return false
 }
 
-// FreeOwner picks at random a router believed to have a free slot, and counts
-// the slot as taken.
+// FreeOwner picks at random a router that has a free slot as far as is known,
+// and counts that slot as taken.
 func (v *View) FreeOwner(pool string) (message.RouterID, bool) {
 	p := v.pools[pool]
 	if p == nil {
@@ -275,8 +282,8 @@
 	return id, true
 }
 
-// Drain calls f with what others served each organisation since the last
-// call, and whether it is backlogged with any of them.
+// Drain calls f with each organisation, what the other routers have served it
+// since the last call of Drain, and whether any of them reported a backlog.
 func (v *View) Drain(pool string, f func(organisation string, served float64, backlogged bool)) {
 	p := v.pools[pool]
 	if p == nil {
@@ -289,13 +296,13 @@
 	}
 }
 
-// Age returns the mean age of the reports of routers that are not forgotten,
-// zero if there are none.
+// Age returns the mean age of the latest reports of all routers but the
+// forgotten ones, or zero if there are none.
 func (v *View) Age(now time.Time) time.Duration {
 	var sum, n time.Duration
 	for _, r := range v.routers {
-		if !r.silent {
-			sum += now.Sub(r.reported)
+		if !r.forgotten {
+			sum += now.Sub(r.reportedAt)
 			n++
 		}
 	}
--- a/internal/fleetview/fleetview_test.go
+++ b/internal/fleetview/fleetview_test.go
@@ -39,12 +39,12 @@
 }
 
 var _ = Describe("View", func() {
-	It("counts the service of each incarnation once, whatever is late, doubled or lost", func() {
+	It("counts the service of each incarnation once, even if reports are late, duplicated or lost", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			g := NewWithT(t)
 			v := fleetview.New(rand.New(rand.NewPCG(1, 1)))
 			v.Report("r1", report(1, 1, 0, 0), start)
-			// Reports of two incarnations, each rising from zero.
+			// Reports of two incarnations, whose counters each start at zero.
 			var sent []message.Report
 			last := map[uint64]uint64{}
 			for i := range rapid.IntRange(1, 30).Draw(t, "reports") {
@@ -72,7 +72,7 @@
 		})
 	})
 
-	It("takes as a starting point what an organisation has when first listed by a router met midway", func() {
+	It("does not count an organisation's first counter if the router's first reports were missed", func() {
 		v := fleetview.New(rand.New(rand.NewPCG(1, 1)))
 		v.Report("r1", message.Report{Incarnation: 1, Sequence: 5}, start)
 		v.Report("r1", report(1, 6, 1000, 0), start)
@@ -83,7 +83,7 @@
 		Expect(served).To(BeNumerically("==", 10))
 	})
 
-	It("takes the first report of a router only as its starting point", func() {
+	It("does not count the service in the first report received of a router that started earlier", func() {
 		v := fleetview.New(rand.New(rand.NewPCG(1, 1)))
 		v.Report("r1", report(1, 5, 1000, 3), start)
 		served, backlogged := drained(v)
@@ -91,7 +91,7 @@
 		Expect(backlogged).To(BeTrue())
 	})
 
-	It("forgets what a dead router has waiting, but not what it served", func() {
+	It("drops the waiting requests of a dead router, but not what it served", func() {
 		v := fleetview.New(rand.New(rand.NewPCG(1, 1)))
 		v.Report("r1", report(1, 1, 0, 3), start)
 		v.Report("r1", report(1, 2, 50, 3), start)
@@ -103,7 +103,7 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("is as old as its reports, those of the dead left out", func() {
+	It("has the mean age of its reports, without those of dead routers", func() {
 		v := fleetview.New(rand.New(rand.NewPCG(1, 1)))
 		Expect(v.Age(start)).To(BeZero())
 		v.Report("r1", report(1, 1, 0, 0), start)
@@ -113,7 +113,7 @@
 		Expect(v.Age(start.Add(3 * time.Second))).To(Equal(time.Second))
 	})
 
-	It("picks each holder as often as it has work, and no more", func() {
+	It("picks each holder once for each of its waiting requests", func() {
 		v := fleetview.New(rand.New(rand.NewPCG(1, 1)))
 		v.Report("r1", report(1, 1, 0, 2), start)
 		v.Report("r2", report(1, 1, 0, 5), start)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,5 +1,5 @@
-// Package member knows which routers are alive, leaving or gone, from the
-// platform's lagging list of boxes and from the routers' own reports.
+// Package member tracks which routers are alive, leaving or gone, from the
+// platform's list of boxes, which lags behind, and from the routers' reports.
 package member
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/stepcroft/stepcroft/internal/rendezvous"
 )
 
-// Member is a router as others see it.
+// Member describes a router to the other routers.
 type Member struct {
 	ID          message.RouterID
 	Zone        string
@@ -23,8 +23,8 @@
 	Leaving     bool
 }
 
-// Table is one router's knowledge of the fleet's routers, itself included.
-// Use New to make one.
+// Table lists the routers that one router knows of, itself included. Use New
+// to make one.
 type Table struct {
 	self    Member
 	timeout time.Duration
@@ -33,25 +33,25 @@
 }
 
 type entry struct {
-	member Member
-	heard  time.Time
-	listed bool
+	member        Member
+	lastMessageAt time.Time
+	listed        bool
 }
 
-// New returns a table that holds only self. A router that was not heard for
-// timeout counts as gone; one that is listed but was never heard counts as
-// alive for that long after now.
+// New returns a table that holds only self. A router counts as gone when no
+// message has come from it for timeout. A listed router that has sent nothing
+// yet counts as alive until timeout after now.
 func New(self Member, timeout time.Duration, now time.Time) *Table {
 	return &Table{self: self, timeout: timeout, started: now, others: map[message.RouterID]*entry{}}
 }
 
-// Self returns the router itself.
+// Self returns the local router.
 func (t *Table) Self() Member { return t.self }
 
-// Leave marks the router itself as leaving.
+// Leave marks the local router as leaving.
 func (t *Table) Leave() { t.self.Leaving = true }
 
-// Listed takes over the platform's list of routers.
+// Listed replaces the platform's list of routers.
 func (t *Table) Listed(boxes []config.Box) {
 	for _, e := range t.others {
 		e.listed = false
@@ -67,7 +67,7 @@
 		e.member.Leaving = e.member.Leaving || b.Leaving
 	}
 	maps.DeleteFunc(t.others, func(_ message.RouterID, e *entry) bool {
-		return !e.listed && e.heard.IsZero()
+		return !e.listed && e.lastMessageAt.IsZero()
 	})
 }
 
@@ -80,50 +80,51 @@
 	return e
 }
 
-// Heard notes that a message came from m. It returns false for a message
-// from an incarnation older than one that is alive, and for one of this
-// router's own name, as of its last incarnation. Incarnations are times of
-// day, which may be set back: an older one that speaks after the newer has
-// fallen silent is a restart.
+// Heard records a message from m. It returns false if the message is to be
+// ignored: it is from an older incarnation of a router that is alive, or from
+// the local router's own ID, as its last incarnation may have sent it.
+// Incarnations are wall-clock times, and clocks may be set back: a lower
+// incarnation counts as a restart once the higher one has timed out.
 func (t *Table) Heard(m Member, now time.Time) bool {
 	if m.ID == t.self.ID {
 		return false
 	}
 	e := t.entry(m.ID)
-	if m.Incarnation < e.member.Incarnation && t.alive(e, now) {
+	if m.Incarnation < e.member.Incarnation && t.isAlive(e, now) {
 		return false
 	}
 	if m.Incarnation == e.member.Incarnation {
 		m.Leaving = m.Leaving || e.member.Leaving
 	}
 	e.member = m
-	e.heard = now
+	e.lastMessageAt = now
 	return true
 }
 
 // Alive reports whether another router is believed to be running.
 func (t *Table) Alive(id message.RouterID, now time.Time) bool {
 	e := t.others[id]
-	return e != nil && t.alive(e, now)
+	return e != nil && t.isAlive(e, now)
 }
 
-func (t *Table) alive(e *entry, now time.Time) bool {
-	if e.heard.IsZero() {
+func (t *Table) isAlive(e *entry, now time.Time) bool {
+	if e.lastMessageAt.IsZero() {
 		return e.listed && now.Sub(t.started) < t.timeout
 	}
-	return now.Sub(e.heard) < t.timeout
+	return now.Sub(e.lastMessageAt) < t.timeout
 }
 
-// Others returns every other router that is listed or alive, by id; messages
-// go to these, since one that is listed but silent may be cut off.
+// Others returns every other router that is listed or alive, sorted by ID.
+// These get this router's messages: one that is listed but silent may only be
+// cut off by the network.
 func (t *Table) Others(now time.Time) []Member {
-	return t.collect(func(e *entry) bool { return e.listed || t.alive(e, now) })
+	return t.filter(func(e *entry) bool { return e.listed || t.isAlive(e, now) })
 }
 
-// Live returns the routers that may own engines: alive, this router
-// included, and not leaving.
+// Live returns the routers that may own engines, sorted by ID: those alive
+// and not leaving, the local router included.
 func (t *Table) Live(now time.Time) []Member {
-	live := t.collect(func(e *entry) bool { return t.alive(e, now) && !e.member.Leaving })
+	live := t.filter(func(e *entry) bool { return t.isAlive(e, now) && !e.member.Leaving })
 	if !t.self.Leaving {
 		live = append(live, t.self)
 		slices.SortFunc(live, byID)
@@ -131,7 +132,7 @@
 	return live
 }
 
-// Lookup returns another router by its id.
+// Lookup returns another router by its ID, alive or not.
 func (t *Table) Lookup(id message.RouterID) (Member, bool) {
 	e := t.others[id]
 	if e == nil {
@@ -140,10 +141,10 @@
 	return e.member, true
 }
 
-func (t *Table) collect(keep func(*entry) bool) []Member {
+func (t *Table) filter(include func(*entry) bool) []Member {
 	var list []Member
 	for _, e := range t.others {
-		if keep(e) {
+		if include(e) {
 			list = append(list, e.member)
 		}
 	}
@@ -153,21 +154,22 @@
 
 func byID(a, b Member) int { return cmp.Compare(a.ID, b.ID) }
 
-// Owner returns which of the live routers owns an engine: the highest by
-// rendezvous hashing, among those of the engine's availability zone if there
-// are any. Every router that sees the same members names the same owner.
+// Owner returns which of the live routers owns an engine: the one with the
+// highest rendezvous weight in the engine's availability zone, or in the whole
+// fleet if that zone has no live router. Routers with the same list of live
+// members compute the same owner.
 func Owner(engine, zone string, live []Member) (Member, bool) {
-	owner, found := highest(engine, live, func(m Member) bool { return m.Zone == zone })
+	owner, found := highestWeight(engine, live, func(m Member) bool { return m.Zone == zone })
 	if found {
 		return owner, true
 	}
-	return highest(engine, live, func(Member) bool { return true })
+	return highestWeight(engine, live, func(Member) bool { return true })
 }
 
-func highest(key string, live []Member, keep func(Member) bool) (best Member, found bool) {
+func highestWeight(key string, live []Member, include func(Member) bool) (best Member, found bool) {
 	var top uint64
 	for _, m := range live {
-		if !keep(m) {
+		if !include(m) {
 			continue
 		}
 		if h := rendezvous.Weight(key, string(m.ID)); !found || h > top {
@@ -177,35 +179,36 @@
 	return best, found
 }
 
-// First returns the n members of an availability zone that rank first for a
-// key by rendezvous hashing, among those given.
+// First returns the n members of an availability zone with the highest
+// rendezvous weights for a key.
 func First(n int, key, zone string, live []Member) []Member {
 	local := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return m.Zone != zone })
-	return first(n, rank(key, local))
+	return firstMembers(n, rank(key, local))
 }
 
-// Spread returns the n members that rank first for a key by rendezvous
-// hashing, the first of each availability zone before the second of any.
+// Spread returns n members by their rendezvous weights for a key, highest
+// first, but spread over availability zones: the first of each zone comes
+// before the second of any.
 func Spread(n int, key string, list []Member) []Member {
 	all := rank(key, list)
 	taken := map[string]int{}
 	for i := range all {
-		all[i].place = taken[all[i].Zone]
+		all[i].zoneRank = taken[all[i].Zone]
 		taken[all[i].Zone]++
 	}
-	slices.SortStableFunc(all, func(a, b ranked) int { return cmp.Compare(a.place, b.place) })
-	return first(n, all)
+	slices.SortStableFunc(all, func(a, b ranked) int { return cmp.Compare(a.zoneRank, b.zoneRank) })
+	return firstMembers(n, all)
 }
 
-// ranked is a member with its weight for a key, worked out once, and its place
-// among those of its availability zone.
+// ranked is a member with its weight for a key, computed once, and its rank
+// within its availability zone.
 type ranked struct {
 	Member
-	weight uint64
-	place  int
+	weight   uint64
+	zoneRank int
 }
 
-// rank returns members by their weights for a key, highest first.
+// rank sorts members by their weights for a key, highest first.
 func rank(key string, list []Member) []ranked {
 	out := make([]ranked, 0, len(list))
 	for _, m := range list {
@@ -215,8 +218,7 @@
 	return out
 }
 
-// first returns the first n members.
-func first(n int, list []ranked) []Member {
+func firstMembers(n int, list []ranked) []Member {
 	out := make([]Member, 0, min(n, len(list)))
 	for _, r := range list[:min(n, len(list))] {
 		out = append(out, r.Member)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -38,24 +38,24 @@
 		t.Listed([]config.Box{{Name: "r1"}, {Name: "r2"}, {Name: "r3"}})
 	})
 
-	It("believes the list until the timeout, then only who was heard", func() {
+	It("counts listed routers as alive until the timeout, then only those that sent a message", func() {
 		Expect(ids(t.Live(start))).To(Equal([]string{"r1", "r2", "r3"}))
 		t.Heard(member.Member{ID: "r2", Incarnation: 1}, start.Add(time.Second))
 		Expect(ids(t.Live(start.Add(2500 * time.Millisecond)))).To(Equal([]string{"r1", "r2"}))
 		Expect(ids(t.Live(start.Add(4 * time.Second)))).To(Equal([]string{"r1"}))
 	})
 
-	It("hears a router that the lagging list does not have yet", func() {
+	It("adds a router that sends a message before it is listed", func() {
 		t.Heard(member.Member{ID: "r9", Incarnation: 1}, start)
 		Expect(ids(t.Live(start))).To(ContainElement("r9"))
 	})
 
-	It("does not take itself for another router", func() {
+	It("ignores messages that carry its own ID", func() {
 		Expect(t.Heard(member.Member{ID: "r1", Incarnation: 9}, start)).To(BeFalse())
 		Expect(ids(t.Live(start))).To(Equal([]string{"r1", "r2", "r3"}))
 	})
 
-	It("keeps leaving for an incarnation, and forgets it for the next", func() {
+	It("keeps an incarnation marked as leaving, but not the next one", func() {
 		t.Heard(member.Member{ID: "r2", Incarnation: 1, Leaving: true}, start)
 		t.Heard(member.Member{ID: "r2", Incarnation: 1}, start)
 		Expect(ids(t.Live(start))).NotTo(ContainElement("r2"))
@@ -75,7 +75,7 @@
 		return list
 	}
 
-	It("prefers the engine's zone, and takes any router if that has none", func() {
+	It("prefers routers of the engine's zone, and takes any router if the zone has none", func() {
 		m, ok := member.Owner("e1", "1", live(9))
 		Expect(ok).To(BeTrue())
 		Expect(m.Zone).To(Equal("1"))
@@ -85,7 +85,7 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("moves only the engines of a router that goes", func() {
+	It("moves only the engines of a router that is removed", func() {
 		all := live(30)
 		less := append(append([]member.Member{}, all[:10]...), all[11:]...)
 		for i := range 300 {
@@ -128,7 +128,7 @@
 		Expect(zones).To(Equal(map[string]int{"a": 2, "b": 1, "c": 1}))
 	})
 
-	It("moves only the places of a router that goes", func() {
+	It("replaces only a router that is removed", func() {
 		all := list("a", "b", "c", "a", "b", "c", "a", "b", "c")
 		before := member.Spread(3, "key", all)
 		gone := before[1]
@@ -138,13 +138,13 @@
 		Expect(after).NotTo(ContainElement(gone))
 	})
 
-	It("gives all there are where more are asked for", func() {
+	It("returns all members if n is larger than the list", func() {
 		Expect(member.Spread(5, "key", list("a", "b"))).To(HaveLen(2))
 		Expect(member.Spread(5, "key", nil)).To(BeEmpty())
 	})
 })
 
-// TestStanding compares a member's standing with the list that Spread puts in order.
+// TestStanding checks that Standing agrees with the sorted list that Spread returns.
 func TestStanding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []member.Member
@@ -168,8 +168,8 @@
 	})
 }
 
-// BenchmarkSpread measures who of a fleet of the size aimed at watches the
-// store, which each router asks itself ten times a second.
+// BenchmarkSpread chooses the routers that watch the store in a fleet of the
+// target size; each router does that ten times a second.
 func BenchmarkSpread(b *testing.B) {
 	var list []member.Member
 	for i := range 630 {
--- a/internal/member/standing.go
+++ b/internal/member/standing.go
@@ -5,47 +5,49 @@
 	"github.com/stepcroft/stepcroft/internal/rendezvous"
 )
 
-// Standing works out whether one member is among those that Spread names, in one
-// pass and without putting all in order: a router of hundreds asks that several
-// times a second, which took half of the processor time of one without callers
+// Standing computes whether one member is among those that Spread returns, in one
+// pass and without sorting. Each of hundreds of routers needs this several times a
+// second, and sorting took half of the CPU time of a router without callers
 // (BenchmarkIdleFleet). Use NewStanding to make one.
 type Standing struct {
-	id   message.RouterID
-	zone string
-	key  uint64
-	own  uint64
-	// zones has the members added, by availability zone.
+	id      message.RouterID
+	zone    string
+	keyHash uint64
+	weight  uint64
+	// zones counts the members added, by availability zone.
 	zones map[string]zoneCount
 }
 
-// zoneCount counts members of an availability zone, and those of them that rank
-// before the member in question.
-type zoneCount struct{ all, before int }
+// zoneCount counts the members of an availability zone (all), and those among
+// them that rank before the member in question (before).
+type zoneCount struct{ total, before int }
 
-// NewStanding returns the standing of a member for a key among none yet.
+// NewStanding returns the standing of a member for a key, with no other members
+// added yet.
 func NewStanding(key string, id message.RouterID, zone string) *Standing {
 	hash := rendezvous.Hash(key)
 	return &Standing{
-		id: id, zone: zone, key: hash, own: rendezvous.WeightOf(hash, rendezvous.Hash(string(id))),
+		id: id, zone: zone, keyHash: hash, weight: rendezvous.WeightOf(hash, rendezvous.Hash(string(id))),
 		zones: map[string]zoneCount{},
 	}
 }
 
-// Add adds a member; the one in question may be among them.
+// Add adds a member; the member in question itself is ignored.
 func (s *Standing) Add(id message.RouterID, zone string) {
 	if id == s.id {
 		return
 	}
 	z := s.zones[zone]
-	z.all++
-	if rendezvous.WeightOf(s.key, rendezvous.Hash(string(id))) > s.own {
+	z.total++
+	if rendezvous.WeightOf(s.keyHash, rendezvous.Hash(string(id))) > s.weight {
 		z.before++
 	}
 	s.zones[zone] = z
 }
 
-// Among reports whether the member is among the first n of those added and itself:
-// the first of each availability zone come before the second of any.
+// Among reports whether the member is among the first n of those added and itself,
+// in the order of Spread: the first of each availability zone comes before the
+// second of any.
 func (s *Standing) Among(n int) bool {
 	place := s.zones[s.zone].before
 	before := place
@@ -53,7 +55,7 @@
 		if zone == s.zone {
 			continue
 		}
-		before += min(z.all, place)
+		before += min(z.total, place)
 		if z.before > place {
 			before++
 		}
