--- a/internal/forward/advice.go
+++ b/internal/forward/advice.go
@@ -12,21 +12,22 @@
 	"github.com/stepcroft/stepcroft/internal/httptarget"
 )
 
-// Advice is what a target says of itself in an answer.
+// Advice is a kind of report that a target makes about itself in the headers of an answer.
 type Advice string
 
 // The kinds of advice.
 const (
-	// AdviceLeaving means that the target leaves.
+	// AdviceLeaving means that the target is leaving: it shuts down in a planned way.
 	AdviceLeaving Advice = "leaving"
-	// AdviceRest means that the target wants nothing from this router for a time,
-	// AdviceRestBounded that the time is absurd.
+	// AdviceRest means that the target asked this router to back off (503 with
+	// Retry-After). AdviceRestBounded means that the requested backoff exceeded
+	// advice.RestMost and was capped.
 	AdviceRest        Advice = "rest"
 	AdviceRestBounded Advice = "rest-bounded"
 )
 
-// advised notes what a target says of itself in the head of an answer, whatever becomes of
-// the rest. Who answers that the request was meant for another process is another one.
+// advised handles what a target reports about itself in the head of an answer, even if the
+// body fails later. Status 421 is ignored: another process than the chosen target sent it.
 func (x *run) advised(to balance.Target, a *httptarget.Answer) {
 	if a.Status == http.StatusMisdirectedRequest {
 		return
@@ -66,9 +67,9 @@
 	})
 }
 
-// restOf returns the time in Retry-After (RFC 9110, section 10.2.3): seconds, of which
-// targets may send fractions, or a date, read by the clock of who sent it. It is 0 where
-// there is none that makes sense.
+// restOf returns the delay given in Retry-After (RFC 9110, section 10.2.3), or 0 if the
+// header is missing or invalid. The value is a number of seconds, which unlike in the RFC
+// may have a fraction, or a date, which is compared with the answer's own Date header.
 func restOf(h http.Header) time.Duration {
 	value := h.Get("Retry-After")
 	if seconds, err := strconv.ParseFloat(value, 64); err == nil {
--- a/internal/forward/coalesce_test.go
+++ b/internal/forward/coalesce_test.go
@@ -21,7 +21,7 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// pieces is a caller that keeps what it is sent, piece by piece.
+// pieces is a caller that records each call of Write.
 type pieces struct {
 	ignored
 	list []string
@@ -35,8 +35,8 @@
 var _ = Describe("A stream", func() {
 	const length, gap = 24, 10 * time.Millisecond
 
-	// ask sends a request to a stream of events, at a router that uses a part of its
-	// processor, and returns the pieces of the answer.
+	// ask requests a stream of events from a router that uses the fraction busy of its
+	// processor, and returns the pieces in which the answer arrives.
 	ask := func(busy float64) []string {
 		g := group.New(context.Background())
 		DeferCleanup(g.Stop)
@@ -76,14 +76,14 @@
 		return b.String()
 	}
 
-	It("lets events come together at a router that is short of processor time, all but the first", func() {
+	It("forwards events in batches when the router is short of processor time, but the first at once", func() {
 		got := ask(1)
 		Expect(strings.Join(got, "")).To(Equal(events(length)))
 		Expect(got[0]).To(Equal(events(1)))
 		Expect(len(got)).To(BeNumerically("<=", length/2))
 	})
 
-	It("passes events on as they come at any other", func() {
+	It("forwards each event as it arrives otherwise", func() {
 		got := ask(0)
 		Expect(strings.Join(got, "")).To(Equal(events(length)))
 		Expect(len(got)).To(BeNumerically(">", length/2))
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// eventBuffer is the size of a stream's buffer, in bytes; maxEvent is the
-	// size of the largest event.
+	// eventBuffer is the initial size of a stream's buffer and maxEvent the size up to
+	// which it grows to hold one event, both in bytes.
 	eventBuffer = 1 << 10
 	maxEvent    = 256 << 10
 )
 
-// errOrder means that a stream's events are not in order.
-var errOrder = errors.New("events out of order")
+// errOrder means that the ids of a stream's events do not increase.
+var errOrder = errors.New("event ids out of order")
 
-// events cuts a stream into whole events.
+// events reads a stream of server-sent events in batches of whole events.
 type events struct {
 	from   io.Reader
 	buffer []byte
-	// held is the number of bytes in buffer that were read and not returned.
+	// held is the number of bytes in buffer that have been read but not yet returned.
 	held int
-	// last is the id of the last event returned, count the number of events
-	// in the last batch.
+	// last is the id of the last event returned, and count the number of events in the
+	// last batch.
 	last  string
 	count int
 }
@@ -34,15 +34,15 @@
 	return &events{from: from, buffer: make([]byte, eventBuffer)}
 }
 
-// next returns the next whole events, which stay valid until the next call.
-// after is the id of the event before them. With an error there may be
-// events too; io.EOF means that the stream is whole.
+// next returns the next batch of whole events. after is the id of the event before them, or
+// "". It may return events together with an error; io.EOF means that the stream ended after
+// a whole event.
 func (e *events) next(after string) ([]byte, error) {
 	e.last, e.count = after, 0
 	for {
 		if e.held == len(e.buffer) {
 			if len(e.buffer) >= maxEvent {
-				return nil, errors.New("event too long")
+				return nil, errors.New("event exceeds the maximum size")
 			}
 			e.buffer = append(e.buffer, make([]byte, len(e.buffer))...)
 		}
@@ -64,8 +64,8 @@
 	}
 }
 
-// finish returns the error for the end of the stream: one that ends within an
-// event is not whole.
+// finish returns the error to report for a read error: io.EOF becomes another error if part
+// of an event is left in the buffer.
 func (e *events) finish(err error) error {
 	if errors.Is(err, io.EOF) && e.held > 0 {
 		return errors.New("stream ends within an event")
@@ -73,8 +73,8 @@
 	return err
 }
 
-// scan finds the whole events in the buffer and checks their ids. It returns
-// where they end.
+// scan finds the whole events in the buffer, checks their ids and returns the offset at
+// which the last of them ends.
 func (e *events) scan() (int, error) {
 	end := 0
 	for {
@@ -90,7 +90,7 @@
 	}
 }
 
-// check checks that an event's id, if it has one, follows the one before.
+// check returns an error if an event has an id that does not follow the previous one.
 func (e *events) check(event []byte) error {
 	for l := range bytes.Lines(event) {
 		value, ok := bytes.CutPrefix(l, []byte("id:"))
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// follows reports whether id is greater than last, where both are numbers.
+// follows reports whether id may come after last. Ids that are not numbers are not compared.
 func follows(last, id string) bool {
 	if last == "" {
 		return true
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,6 +1,7 @@
-// Package forward carries one request from its caller to a target and the
-// answer back. It decides when a request is sent, sent again, resumed at
-// another engine or given up, and what the caller is told.
+// Package forward carries one request from its caller to a target and the answer back. It
+// decides when to send the request, retry it, resume its stream at another engine or abandon
+// it, and how to answer the caller. The choice of the target is made by the control thread
+// (balance.Loop), which this package talks to through a balance.Ticket.
 package forward
 
 import (
@@ -19,8 +20,7 @@
 	"github.com/stepcroft/stepcroft/internal/throttle"
 )
 
-// Forwarder forwards requests. Use New to make one; it is safe for use by
-// many goroutines.
+// Forwarder forwards requests. Use New to make one. It is safe for concurrent use.
 type Forwarder struct {
 	dialect  Dialect
 	sender   Sender
@@ -30,70 +30,71 @@
 	counts   Counts
 }
 
-// Counts counts what happens to requests, by reason, and what targets say of themselves.
+// Counts counts retries by reason, and what targets report about themselves.
 type Counts interface {
 	Retried(r Reason)
-	// Advised counts what a target says for the first time.
+	// Advised counts a report of a target that changes what was known about it.
 	Advised(a Advice)
 }
 
-// New returns a forwarder.
+// New returns a forwarder that sends requests with s to the targets that l chooses.
 func New(d Dialect, s Sender, l *balance.Loop, q Suspects, log logr.Logger, c Counts) *Forwarder {
 	return &Forwarder{dialect: d, sender: s, loop: l, suspects: q, log: log, counts: c}
 }
 
-// Crowded returns why a request of an organisation to engines is to be refused
-// unread, or "": it sends more than the router can take in.
+// Crowded returns the reason to reject a request of an organisation to engines before it is
+// parsed, because the organisation sends more than the router can take in, or "" to read it.
 func (f *Forwarder) Crowded(organisation string, o throttle.Offer) Reason {
 	return Reason(f.loop.Crowded(organisation, o))
 }
 
-// Throttles reports whether requests of any organisation are refused unread.
+// Throttles reports whether requests of any organisation are rejected before parsing.
 func (f *Forwarder) Throttles() bool { return f.loop.Throttles() }
 
 // Short reports whether the router is short of processor time.
 func (f *Forwarder) Short() bool { return f.loop.Coalesce() > 0 }
 
-// Admit lets a request of an organisation to engines in, or returns why it is to be
-// refused.
+// Admit admits a request of an organisation to engines and returns "", or returns the reason
+// to reject it.
 func (f *Forwarder) Admit(organisation string, o throttle.Offer) Reason {
 	return Reason(f.loop.Admit(organisation, o))
 }
 
 const (
-	// minLeft is the least time that is worth a send.
+	// minLeft is the time that must be left before the deadline for a retry.
 	minLeft = 5 * time.Millisecond
-	// comeBackSoon is when to come back after a target refused or could not be
-	// reached: another one is chosen then.
+	// comeBackSoon is the default Retry-After of a failed request. It is short because the
+	// next attempt goes to another target.
 	comeBackSoon = 200 * time.Millisecond
 )
 
-// run is one request on its way.
+// run is one request while it is being forwarded.
 type run struct {
 	*Forwarder
 	Request
 	caller   Caller
 	ticket   *balance.Ticket
 	deadline time.Time
-	// source is the engine from which the target can fetch parts.
+	// source is an engine from which the target can fetch cached parts of the prompt; its
+	// ID is empty if there is none.
 	source  balance.Target
 	verdict Verdict
-	// answers is set once the target of the last send has begun to answer.
+	// answers is set once the target of the current send has started to answer.
 	answers bool
-	// mayHaveRun is set once a target may have run the request.
+	// mayHaveRun is set once a target may have run the request, wholly or in part.
 	mayHaveRun bool
-	// last is the id of the last event passed on.
+	// last is the id of the last event forwarded to the caller, from which a stream resumes.
 	last string
-	// passed is the number of events passed on.
+	// passed is the number of events forwarded to the caller.
 	passed int
-	// content is what is asked, worked out when it is first needed.
+	// content is the key of the request's content, computed when first needed.
 	content *quarantine.Key
-	// trial is set where the request is held back and sent on trial.
+	// trial is set if the request is sent although targets have crashed while running it.
 	trial bool
 }
 
-// Forward carries r to a target and the answer to caller. It returns when
-// the answer is over or given up; ctx ends when the caller goes away.
+// Forward sends r to a target and the answer to caller. It returns when the answer is
+// complete or the request is abandoned. ctx must end when the caller disconnects.
 func (f *Forwarder) Forward(ctx context.Context, r Request, caller Caller) Verdict {
 	deadline := r.Expires()
 	x := &run{Forwarder: f, Request: r, caller: caller, deadline: deadline, last: r.LastEvent}
@@ -114,7 +115,7 @@
 	return x.verdict
 }
 
-// run sends the request until an answer has been passed on or it is given up.
+// run sends the request, with retries, until it is answered, refused or abandoned.
 func (x *run) run(ctx context.Context) {
 	x.loop.Post(func(s *balance.State, now time.Time) { s.Arrive(now, x.ticket) })
 	for {
@@ -128,13 +129,13 @@
 			return
 		}
 		if clock.Until(x.deadline) <= 0 {
-			// The box was suspended, and the timer that ends the request stood still.
+			// The box was suspended, which also stopped the timer of ctx.
 			x.end(balance.Left)
 			x.giveUp(ctx)
 			return
 		}
 		if x.heldBack(ctx) {
-			// It became known while the request waited.
+			// The request was quarantined while it waited for a target.
 			x.end(balance.Refused)
 			return
 		}
@@ -148,7 +149,7 @@
 	}
 }
 
-// target waits for the control thread's decision.
+// target waits until the control thread has chosen a target or refused the request.
 func (x *run) target(ctx context.Context) (balance.Target, bool) {
 	select {
 	case d := <-x.ticket.Decision:
@@ -169,8 +170,8 @@
 	}
 }
 
-// withdraw takes the request back from the control thread, which may have
-// decided already.
+// withdraw takes the request back from the control thread. If a target has been chosen
+// already, it releases the load counted there.
 func (x *run) withdraw() {
 	t := x.ticket
 	x.loop.Post(func(s *balance.State, now time.Time) {
@@ -183,7 +184,8 @@
 	})
 }
 
-// refuse ends a request that was not run, or that cannot be continued.
+// refuse sets the verdict of a request that no target ran, or whose answer cannot be
+// continued.
 func (x *run) refuse(why Reason, after time.Duration) {
 	x.verdict.Reason = why
 	if x.verdict.Begun {
@@ -198,7 +200,7 @@
 	x.verdict.RetryAfter = after
 }
 
-// giveUp ends a request whose time is over or whose caller has gone.
+// giveUp sets the verdict of a request whose deadline has passed or whose caller has gone.
 func (x *run) giveUp(ctx context.Context) {
 	x.verdict.Reason = ReasonGone
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -215,22 +217,22 @@
 	}
 }
 
-// failure is why one send did not lead to a whole answer.
+// failure says why one send did not result in a complete answer.
 type failure struct {
 	reason Reason
 	result balance.Result
 	// ran is set if the target may have run the request.
 	ran bool
-	// answer passes on what the target said of its failure, where it said
-	// something that may be passed on; nil if not.
+	// answer is the target's own error answer, to be forwarded if the request is not
+	// retried; nil if there is none.
 	answer *kept
 	cause  error
 }
 
 func (f *failure) Error() string { return string(f.reason) + ": " + f.cause.Error() }
 
-// again decides what follows a failed send. It returns true if the request
-// was handed to the control thread once more.
+// again handles a failed send. It returns true if the request is retried: the control
+// thread then chooses another target. Otherwise it answers or refuses the request.
 func (x *run) again(ctx context.Context, to balance.Target, f *failure) bool {
 	if f.ran {
 		x.mayHaveRun = true
@@ -258,7 +260,8 @@
 	return false
 }
 
-// comeBack returns when to come back after the last send has failed.
+// comeBack returns the Retry-After for a request whose last send failed. Where all targets
+// of the service are backing off, it is the time until they accept requests again.
 func (x *run) comeBack(ctx context.Context, f *failure) time.Duration {
 	if f.reason != ReasonRefused {
 		return comeBackSoon
@@ -275,8 +278,9 @@
 	return after
 }
 
-// logFailed logs what follows a failed send. Where the target broke off, the content
-// tells whether the same is asked at the next one that does.
+// logFailed logs a failed send and what follows it. If the target broke off its answer, the
+// line has a digest of the content, so that a request that breaks one target after another
+// can be found in the log.
 func (x *run) logFailed(what string, to balance.Target, f *failure) {
 	log := x.log
 	if f.reason == ReasonBroken || f.reason == ReasonRestarted {
@@ -299,8 +303,8 @@
 	return !f.ran || x.Route.Repeatable()
 }
 
-// retry asks the control thread for another target, which the retry budget
-// may forbid. A send that never reached a target needs no budget.
+// retry asks the control thread for another target and reports whether the retry budget
+// allows it. It spends no budget as long as no send has reached a target.
 func (x *run) retry(ctx context.Context, to balance.Target) bool {
 	t := x.ticket
 	free, resumes := x.verdict.Sends == 0, x.verdict.Begun
@@ -316,14 +320,14 @@
 		allowed = s.Again(now, t)
 	})
 	if !asked {
-		// The event still comes, and nobody would wait for what it decides.
+		// The event is still in the queue, and nobody would receive the decision it leads to.
 		x.withdraw()
 		return false
 	}
 	return allowed
 }
 
-// head builds the head of the request for a target.
+// head returns the request line and headers to send to a target.
 func (x *run) head(to balance.Target, deadline time.Time) []byte {
 	b := make([]byte, 0, headSize)
 	b = append(b, x.Method...)
@@ -355,7 +359,7 @@
 	return append(b, "\r\n"...)
 }
 
-// headSize is room for a usual request's head, in bytes.
+// headSize is the initial capacity for a request's head in bytes, enough for most requests.
 const headSize = 768
 
 func line(b []byte, name, value string) []byte {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -26,7 +26,7 @@
 	RunSpecs(t, "forward")
 }
 
-// sender is a sender whose targets break every request off.
+// sender is a forward.Sender whose targets break off every request. It calls broken first.
 type sender struct{ broken func() }
 
 func (s sender) Send(context.Context, string, httptarget.Request) (*httptarget.Answer, error) {
@@ -36,14 +36,14 @@
 
 func (sender) Ended(context.Context, string, string) bool { return false }
 
-// trusting suspects no request.
+// trusting implements forward.Suspects and suspects no request.
 type trusting struct{ forward.Suspects }
 
 func (trusting) View() *quarantine.View                   { return nil }
 func (trusting) Ended(balance.Target)                     {}
 func (trusting) Broke(context.Context, forward.Break) int { return 0 }
 
-// ignored is a caller and a counter that nobody looks at.
+// ignored implements forward.Caller and forward.Counts and discards everything.
 type ignored struct{}
 
 func (ignored) Head(int, http.Header, int64) {}
@@ -52,7 +52,7 @@
 func (ignored) Advised(forward.Advice)       {}
 
 var _ = Describe("Forward", func() {
-	It("leaves no load behind when its caller goes away while another target is chosen", func() {
+	It("releases the load of a request whose caller disconnects while another target is chosen", func() {
 		g := group.New(context.Background())
 		DeferCleanup(g.Stop)
 		limits := balance.Limits{RetryRatio: 1, RetrySlack: 100, RetryWindow: time.Second, QuotaWindow: time.Second}
@@ -70,8 +70,8 @@
 		defer cancel()
 		hold := make(chan bool)
 		f := forward.New(forward.Dialect{}, sender{func() {
-			// The control thread is busy when the retry is asked for, and the
-			// caller goes away meanwhile.
+			// The control thread is blocked when the retry is requested, and the caller
+			// disconnects meanwhile.
 			loop.Post(func(*balance.State, time.Time) { <-hold })
 			time.AfterFunc(30*time.Millisecond, cancel)
 		}}, loop, trusting{}, logr.Discard(), ignored{})
--- a/internal/forward/leaving_test.go
+++ b/internal/forward/leaving_test.go
@@ -20,17 +20,17 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// headerLeaving and headerNotRun are names of the tests' own.
+// headerLeaving and headerNotRun are the names of headers in these tests' dialect.
 const headerLeaving, headerNotRun = "X-Leaving", "X-Not-Run"
 
-// desk is a router's side towards targets, which the test plays.
+// desk is a forwarder with its control loop, which sends requests to the test's HTTP servers.
 type desk struct {
 	*forward.Forwarder
 	loop  *balance.Loop
 	asked int
 }
 
-// newDesk returns a desk without targets.
+// newDesk returns a desk that has no targets yet.
 func newDesk(t *testing.T) *desk {
 	t.Helper()
 	g := group.New(context.Background())
@@ -44,15 +44,15 @@
 	return &desk{loop: loop, Forwarder: forward.New(d, httptarget.New(g), loop, trusting{}, logr.Discard(), ignored{})}
 }
 
-// list puts a list of targets in force.
+// list replaces the list of targets.
 func (d *desk) list(t *testing.T, list ...balance.Target) {
 	t.Helper()
 	if !d.loop.Ask(t.Context(), func(s *balance.State, now time.Time) { s.SetTargets(now, list) }) {
-		t.Fatal("the list was not taken over")
+		t.Fatal("the control loop did not apply the list of targets")
 	}
 }
 
-// ask sends a request and returns what became of it.
+// ask forwards a request and returns its verdict.
 func (d *desk) ask(kind routing.Kind) forward.Verdict {
 	d.asked++
 	now := time.Now()
@@ -63,7 +63,7 @@
 	}, ignored{})
 }
 
-// played starts a target that answers with a handler and counts requests.
+// played starts a target that answers with h and counts its requests in count.
 func played(t *testing.T, id string, count *atomic.Int64, h http.HandlerFunc) balance.Target {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -76,7 +76,7 @@
 
 func fine(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "id: 1\ndata: x\n\n") }
 
-// leaving makes a handler say that its target leaves.
+// leaving returns a handler that also reports that its target is leaving.
 func leaving(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(headerLeaving, "1")
@@ -96,8 +96,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Requests went on reaching a target that had said in an answer that it leaves, as long as
-// its entry in the store said that it was ready.
+// Guards against sending requests to a target that has reported in an answer that it is
+// leaving while its entry in the store still says that it is ready.
 func TestRequestsAfterTargetSaidThatItLeaves(t *testing.T) {
 	cases := map[string]struct {
 		kind   routing.Kind
@@ -118,8 +118,8 @@
 	}
 }
 
-// leavesAlone checks that a target gets nothing more once it has answered with a handler, while
-// its entry goes and comes back, and that another one serves all.
+// leavesAlone checks that a target gets no further request once it has answered with the
+// handler, even if its entry disappears and returns, and that another target serves them all.
 func leavesAlone(t *testing.T, kind routing.Kind, answer http.HandlerFunc) {
 	t.Helper()
 	d := newDesk(t)
@@ -141,11 +141,11 @@
 		}
 	}
 	if alone.Load() != 0 || others.Load() != requests {
-		t.Errorf("%d requests reached the target that is to be left alone, %d the other one", alone.Load(), others.Load())
+		t.Errorf("%d requests reached the target that must be skipped, %d the other one", alone.Load(), others.Load())
 	}
 }
 
-// Where nobody else is left, a request is refused as not run.
+// If all targets are leaving, a request is refused as not run.
 func TestAllTargetsSaidThatTheyLeave(t *testing.T) {
 	d := newDesk(t)
 	var sent atomic.Int64
@@ -153,11 +153,11 @@
 	d.ask(routing.Idempotent)
 	v := d.ask(routing.Idempotent)
 	if sent.Load() != 1 || v.Status != http.StatusServiceUnavailable || v.Reason != forward.ReasonNoTarget || v.RetryAfter <= 0 {
-		t.Errorf("%d sent; status %d, reason %q, come back after %v", sent.Load(), v.Status, v.Reason, v.RetryAfter)
+		t.Errorf("%d sent; status %d, reason %q, retry after %v", sent.Load(), v.Status, v.Reason, v.RetryAfter)
 	}
 }
 
-// What one process said does not hold for another, under its id or at its address.
+// A report of one process must not be applied to another with the same id or address.
 func TestAnotherProcessDoesNotLeave(t *testing.T) {
 	cases := map[string]struct {
 		answer http.HandlerFunc
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -11,34 +11,35 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// Dialect holds the names of the headers that the deployment uses.
+// Dialect holds the names of the headers that a deployment uses.
 type Dialect struct {
-	// RequestID names a request, in requests and answers.
+	// RequestID carries the request's id, in requests and answers.
 	RequestID string
-	// Deadline is the number of milliseconds for which an answer is waited.
+	// Deadline carries the number of milliseconds for which the caller waits for the answer.
 	Deadline string
-	// Organisation tells a target whose request it is.
+	// Organisation tells the target which organisation sent the request.
 	Organisation string
-	// ExpectTarget names the target that the request is meant for.
+	// ExpectTarget carries the id of the target that the request is meant for.
 	ExpectTarget string
-	// NotRun stands in answers to requests that the target did not run.
+	// NotRun is set in answers to requests that the target did not run.
 	NotRun string
-	// Leaving stands in the answers of a target that leaves, as a boolean.
+	// Leaving is true in the answers of a target that is leaving.
 	Leaving string
-	// FetchFrom names the address of an engine from which the target fetches
-	// what it lacks of the prompt's parts.
+	// FetchFrom carries the address of an engine from which the target can fetch the
+	// parts of the prompt that it has not cached; empty if the deployment has no such header.
 	FetchFrom string
-	// LastEvent asks for a stream from after an event on.
+	// LastEvent carries the id of the event after which a stream is to resume.
 	LastEvent string
-	// PromptSize is "TOKENS IN,MOST TOKENS OUT" and PromptParts "ID:TOKENS" by
-	// commas, in the prompt's order; OutputHint guesses the tokens out.
+	// PromptSize carries "INPUT TOKENS,MAXIMUM OUTPUT TOKENS", PromptParts the parts of
+	// the prompt in order as "ID:TOKENS" separated by commas, and OutputHint the expected
+	// number of output tokens.
 	PromptSize, PromptParts, OutputHint string
-	// Reserved lists, in canonical form, the request headers that only routers
-	// may set. What a caller says in them is ignored.
+	// Reserved lists, in canonical form, the request headers that only routers may set.
+	// They are dropped from a caller's request.
 	Reserved []string
 }
 
-// Request is what a caller asks for.
+// Request is a caller's request, parsed and matched to a route.
 type Request struct {
 	ID     string
 	Method string
@@ -48,27 +49,26 @@
 	Route        *routing.Route
 	Service      string
 	Organisation string
-	// Header has what is passed on, without what the router sets itself.
+	// Header has the headers to forward, without those that the router sets itself.
 	Header  http.Header
 	Body    []byte
 	Arrived time.Time
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// Engine is set where the service's targets are model engines.
+	// Engine is set if the service's targets are model engines.
 	Engine bool
 	Parts  []prefix.Part
-	// Input and Output are the prompt's tokens and the most tokens out.
+	// Input is the number of prompt tokens, Output the maximum number of output tokens.
 	Input, Output int
-	// LastEvent is the id of the last event that the caller has; empty if
-	// none.
+	// LastEvent is the id of the last event that the caller has received; empty if none.
 	LastEvent string
-	// Gone reports whether the caller has left, which the request's context tells
-	// late on a busy box; nil where nobody can tell.
+	// Gone reports whether the caller has disconnected, checked on its connection because
+	// on a busy box the request's context ends late. It is nil if that cannot be checked.
 	Gone func() bool
 }
 
-// Expires returns when the request is given up: when its caller stops waiting,
-// or at its route's timeout.
+// Expires returns when the request is abandoned: at its caller's deadline or its route's
+// timeout, whichever is first.
 func (r Request) Expires() time.Time {
 	if d := r.Arrived.Add(r.Route.Timeout); r.Route.Timeout > 0 && d.Before(r.Deadline) {
 		return d
@@ -76,56 +76,57 @@
 	return r.Deadline
 }
 
-// Caller is where an answer goes.
+// Caller receives the answer to a request.
 type Caller interface {
-	// Head begins the answer; length is -1 if it is not known.
+	// Head sends the status and headers; length is that of the body, -1 if unknown.
 	Head(status int, header http.Header, length int64)
-	// Write sends a piece of the body at once.
+	// Write sends a piece of the body without buffering it.
 	Write(b []byte) error
 }
 
-// Sender exchanges requests and answers with targets.
+// Sender sends requests to targets and receives their answers.
 type Sender interface {
 	Send(ctx context.Context, address string, r httptarget.Request) (*httptarget.Answer, error)
-	// Ended reports whether the process of a target has ended.
+	// Ended reports whether the process of a target has exited.
 	Ended(ctx context.Context, address, instance string) bool
 }
 
-// Verdict is how a request ended, as its caller must be told.
+// Verdict is how a request ended, with what is needed to answer its caller and to log it.
 type Verdict struct {
-	// Status is the status sent, or to be sent if Begun is false.
+	// Status is the status that was sent, or that is to be sent if Begun is false.
 	Status int
-	// Begun is set if the answer's head was handed to the caller.
+	// Begun is set if the answer's head has been sent to the caller.
 	Begun bool
-	// Cut is set if the answer broke off and must not look complete.
+	// Cut is set if the answer broke off: the caller must not take it for a complete one.
 	Cut bool
-	// Reason says why the request was refused or failed; empty if a target's
-	// answer was passed on.
+	// Reason says why the request was refused or failed; empty if a target's answer was
+	// forwarded.
 	Reason Reason
-	// RetryAfter is when the caller should come back; 0 if that is not known.
+	// RetryAfter is the delay after which the caller should retry; 0 if unknown.
 	RetryAfter time.Duration
-	// Sends is the number of targets that the request was sent to.
+	// Sends is the number of times that the request was sent to a target.
 	Sends int
-	// Waited is the time spent waiting for room, First the time to the first
-	// byte of the answer's body; 0 if none came.
+	// Waited is the time from arrival to the choice of a target, First the time from
+	// arrival to the first part of the answer's body; 0 if none came.
 	Waited, First time.Duration
 	// Target is the id of the last target that was chosen.
 	Target string
-	// Unread is that target's unread prompt tokens when it was chosen, Miss
-	// those of this request.
+	// Unread is the number of prompt tokens that the target still had to process when it
+	// was chosen (its prefill backlog), Miss the number of this request's prompt tokens
+	// that it had not cached.
 	Unread, Miss int
-	// Fetched is the number of tokens that the target could fetch from another
-	// engine.
+	// Fetched is the number of this request's prompt tokens that the target could fetch
+	// from another engine's cache.
 	Fetched int
-	// Lapsed is for how long that target's entry had been gone; 0 if it was
-	// listed.
+	// Lapsed is how long ago the target's entry had lapsed, that is, its TTL ran out while
+	// the store was unavailable; 0 if it was listed.
 	Lapsed time.Duration
-	// Content is a digest of what was asked where the request is held back for what it
-	// asks.
+	// Content is a digest of the request's content if the request was refused because it
+	// is quarantined, else empty.
 	Content string
 }
 
-// Reason is why a request was refused, failed or was sent again.
+// Reason is why a request was refused, failed or was retried.
 type Reason string
 
 // The reasons.
@@ -133,25 +134,26 @@
 	ReasonFull     Reason = Reason(balance.Full)
 	ReasonResting  Reason = Reason(balance.Resting)
 	ReasonNoTarget Reason = Reason(balance.NoTarget)
-	// ReasonCrowded and ReasonBusy are those for which a request is refused unread.
+	// ReasonCrowded means that the organisation's queue is full and ReasonBusy that the
+	// router is short of processor time. The request was rejected before parsing.
 	ReasonCrowded Reason = Reason(balance.Crowded)
 	ReasonBusy    Reason = Reason(balance.Busy)
-	// ReasonDeadline means that time ran out.
+	// ReasonDeadline means that the request's deadline passed.
 	ReasonDeadline Reason = "deadline"
-	// ReasonGone means that the caller went away.
+	// ReasonGone means that the caller disconnected.
 	ReasonGone Reason = "caller-gone"
-	// ReasonRefused means that a target said it did not run the request.
+	// ReasonRefused means that a target answered that it did not run the request.
 	ReasonRefused Reason = "target-refused"
-	// ReasonUnreachable means that no connection to a target came about.
+	// ReasonUnreachable means that no connection to a target could be made.
 	ReasonUnreachable Reason = "target-unreachable"
-	// ReasonBroken means that a target's answer broke off or never came.
+	// ReasonBroken means that a target's answer broke off, never came or was invalid.
 	ReasonBroken Reason = "target-broken"
-	// ReasonFailed means that a target answered with a failure of its own.
+	// ReasonFailed means that a target answered with an error status.
 	ReasonFailed Reason = "target-failed"
-	// ReasonSilent means that a target showed no sign for too long.
+	// ReasonSilent means that a target sent nothing for too long.
 	ReasonSilent Reason = "target-silent"
-	// ReasonRestarted means that a target's process ended and started again.
+	// ReasonRestarted means that a target's process exited and was started again.
 	ReasonRestarted Reason = "target-restarted"
-	// ReasonQuarantined means that targets ended under the same request before.
+	// ReasonQuarantined means that target processes have crashed while running the same request.
 	ReasonQuarantined Reason = "quarantined"
 )
--- a/internal/forward/rest_test.go
+++ b/internal/forward/rest_test.go
@@ -10,10 +10,10 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// restSeconds is the rest that targets ask for, longer than any test takes.
+// restSeconds is the backoff that targets ask for, longer than any test takes.
 const restSeconds = "60"
 
-// resting makes a handler ask for a rest.
+// resting returns a handler that also asks for a backoff.
 func resting(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Retry-After", restSeconds)
@@ -21,7 +21,7 @@
 	}
 }
 
-// Requests went on reaching a target that had turned one away and asked for a rest.
+// Guards against sending requests to a target that has rejected one and asked for a backoff.
 func TestRequestsAfterTargetAskedForRest(t *testing.T) {
 	cases := map[string]struct {
 		kind   routing.Kind
@@ -39,7 +39,8 @@
 	}
 }
 
-// Callers were sent to targets of which all rested, or were told to come back at once.
+// Guards against sending requests while all targets are backing off, and against telling
+// callers to retry before the backoff ends.
 func TestCallersAreToldWhenAllTargetsRest(t *testing.T) {
 	d := newDesk(t)
 	var sent atomic.Int64
@@ -47,7 +48,7 @@
 	for i, reason := range []forward.Reason{forward.ReasonRefused, forward.ReasonResting, forward.ReasonResting} {
 		v := d.ask(routing.Idempotent)
 		if v.Status != http.StatusServiceUnavailable || v.Reason != reason || v.RetryAfter < 50*time.Second {
-			t.Errorf("request %d: status %d, reason %q, come back after %v", i, v.Status, v.Reason, v.RetryAfter)
+			t.Errorf("request %d: status %d, reason %q, retry after %v", i, v.Status, v.Reason, v.RetryAfter)
 		}
 	}
 	if sent.Load() != 2 {
--- a/internal/forward/suspects.go
+++ b/internal/forward/suspects.go
@@ -9,36 +9,37 @@
 	"github.com/stepcroft/stepcroft/internal/quarantine"
 )
 
-// Suspects knows the requests under which targets ended.
+// Suspects tracks the requests suspected of crashing targets: those that a target was
+// running when its process exited.
 type Suspects interface {
-	// View returns what is suspected now; nil if nothing is.
+	// View returns the requests suspected now, or nil if there are none.
 	View() *quarantine.View
-	// Broke notes that a target broke off its answer to a request. It returns the number
-	// of targets that ended under the request.
+	// Broke records that a target broke off its answer to a request. It returns the number
+	// of targets that have exited while running the request.
 	Broke(ctx context.Context, b Break) int
-	// Try reports whether a request that is held back may be sent on trial until a time,
-	// and Tried notes that this is over.
+	// Try reports whether a quarantined request may be sent on trial, with an answer by
+	// until. Tried ends the trial.
 	Try(ctx context.Context, k quarantine.Key, until time.Time) bool
 	Tried(k quarantine.Key)
-	// Ended notes that the process of a target has ended.
+	// Ended records that the process of a target has exited.
 	Ended(t balance.Target)
-	// Cleared notes that a suspected request has ended well.
+	// Cleared records that a target has run a suspected request to its end.
 	Cleared(k quarantine.Key)
-	// Seen notes that a request which is held back has come again.
+	// Seen records that a quarantined request has been received again.
 	Seen(k quarantine.Key)
 }
 
-// Break says that a target broke off its answer to a request.
+// Break describes an answer that a target broke off.
 type Break struct {
 	Key          quarantine.Key
 	Organisation string
 	Target       balance.Target
-	// Ended is set where the target's process is known to have ended, Trial where the
-	// request was sent although others had ended under it.
+	// Ended is set if the target's process is known to have exited. Trial is set if the
+	// request was sent although other targets had crashed while running it.
 	Ended, Trial bool
 }
 
-// key returns what is asked, by which repeats are known whatever their ids.
+// key identifies the request by its content, so that repeats with other ids are recognised.
 func (x *run) key() quarantine.Key {
 	if x.content == nil {
 		k := quarantine.KeyOf(x.Organisation, x.Method, x.Target, x.Body)
@@ -47,9 +48,9 @@
 	return *x.content
 }
 
-// heldBack refuses the request if it ended engines before: sent on, the same one of a
-// caller that repeats it ended 38 to 44 engines in 10 s, with all that ran there. While
-// nothing is suspected anywhere it costs a look at a pointer.
+// heldBack refuses the request and returns true if the request is quarantined. Without this,
+// one request that a caller kept repeating crashed 38 to 44 engines in 10 s, together with
+// everything else they ran. It costs one pointer comparison while nothing is suspected.
 func (x *run) heldBack(ctx context.Context) bool {
 	v := x.suspects.View()
 	if v == nil {
@@ -71,10 +72,12 @@
 	return true
 }
 
-// trialAfter is when to come back while another router has the request on trial, or will.
+// trialAfter is the Retry-After of a quarantined request that may be sent on trial, but not
+// now or not by this router.
 const trialAfter = 5 * time.Second
 
-// mayTry reports whether the request may be sent after so many crashes.
+// mayTry reports whether the request may be sent although it has crashed targets. If it is
+// quarantined, it may be sent only on trial.
 func (x *run) mayTry(ctx context.Context, crashes int) bool {
 	if !quarantine.Holds(crashes) || x.trial {
 		x.trial = !quarantine.MayRepeat(crashes)
@@ -84,8 +87,8 @@
 	return x.trial
 }
 
-// crashed notes that a target broke off its answer or fell silent, and returns whether too
-// many targets have ended under the request for the router to send it again by itself.
+// crashed reports a broken-off answer or a silent target to the suspects. It returns true if
+// so many targets have exited while running the request that the router must not retry it.
 func (x *run) crashed(ctx context.Context, to balance.Target, f *failure) bool {
 	ended := false
 	switch f.reason {
@@ -94,7 +97,7 @@
 	case ReasonBroken:
 		ended = x.sender.Ended(ctx, to.Address, to.Incarnation())
 	case ReasonSilent:
-		// It may turn out to have ended.
+		// The process may have exited; that is found out later.
 	default:
 		return false
 	}
@@ -102,7 +105,7 @@
 	return !quarantine.MayRepeat(crashes)
 }
 
-// survived notes that a target has run the request to its end.
+// survived clears the suspicion against a request that a target has run to its end.
 func (x *run) survived() {
 	if x.suspects.View().Crashes(x.key()) > 0 {
 		x.suspects.Cleared(x.key())
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -18,34 +18,34 @@
 )
 
 const (
-	// firstShare is the time, in percent of the goal, after which a target
-	// without a first event counts as silent where another may take over.
+	// firstShare is the time, in percent of the route's goal, after which a target that has
+	// sent nothing counts as silent, if another one may take over.
 	firstShare = 150
-	// pauses is the number of usual pauses after which a stream counts as
-	// silent where another engine may take over.
+	// pauses is the number of times the route's maximum pause after which a stream counts
+	// as silent, if another engine may take over.
 	pauses = 4
-	// minSilence is the least time that counts as silence.
+	// minSilence is the shortest time after which a target counts as silent.
 	minSilence = 600 * time.Millisecond
-	// maxKept bounds an answer that is held until it is whole, in bytes.
+	// maxKept is the size, in bytes, up to which an answer is buffered until it is complete.
 	maxKept = 256 << 10
 )
 
 var (
-	// errSilent means that a target showed no sign for too long.
+	// errSilent is the cancellation cause when a target has sent nothing for too long.
 	errSilent = errors.New("target silent")
-	// errRestarted means that the target's process ended and started again.
+	// errRestarted is the cancellation cause when the target's process was restarted.
 	errRestarted = errors.New("target restarted")
 )
 
-// kept is a whole answer.
+// kept is a buffered answer.
 type kept struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// try sends the request to one target and passes the answer on. It returns
-// nil if the request is over.
+// try sends the request to one target and forwards the answer. It returns nil if the answer
+// was forwarded completely.
 func (x *run) try(ctx context.Context, to balance.Target) *failure {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -79,7 +79,7 @@
 	return f
 }
 
-// sendFailed notes that no answer came.
+// sendFailed handles a send that got no answer: not even its head was received.
 func (x *run) sendFailed(ctx context.Context, to balance.Target, err error) *failure {
 	if errors.Is(err, httptarget.ErrNotSent) {
 		f := &failure{reason: ReasonUnreachable, result: balance.Unreachable, cause: err}
@@ -101,7 +101,8 @@
 	return f
 }
 
-// stopped returns the failure of an exchange that the router ended itself.
+// stopped returns the failure of an exchange that was cancelled by this router, or because
+// the caller disconnected.
 func (x *run) stopped(ctx context.Context, err error) *failure {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, errSilent):
@@ -117,8 +118,8 @@
 	x.loop.Post(func(s *balance.State, now time.Time) { s.Ended(now, t, how) })
 }
 
-// begun notes that a piece of the answer has come. The control thread hears of
-// the first one of each send: a message for each event of a stream would wake it
+// begun records that a piece of the answer has arrived. It notifies the control thread of
+// the first piece of each send only: a message for each event of a stream would wake it
 // thousands of times a second.
 func (x *run) begun() {
 	if x.verdict.First == 0 {
@@ -133,8 +134,8 @@
 	x.loop.Post(func(s *balance.State, now time.Time) { s.Begun(now, t) })
 }
 
-// watch returns a timer that ends the exchange when the target is silent for
-// too long and another may take over, or one that does nothing where none may.
+// watch returns a timer that cancels the exchange when the target is silent for too long and
+// another one may take over. If no further send is allowed, the timer does nothing.
 func (x *run) watch(cancel context.CancelCauseFunc) *time.Timer {
 	if !x.Route.Repeatable() || x.verdict.Sends+1 >= x.Route.MaxAttempts {
 		return time.AfterFunc(clock.Until(x.deadline), func() {})
@@ -149,7 +150,7 @@
 	})
 }
 
-// receive passes an answer on, or returns why it cannot be.
+// receive forwards an answer, or returns why it could not.
 func (x *run) receive(ctx context.Context, a *httptarget.Answer, watch *time.Timer) *failure {
 	if a.Header.Get(x.dialect.NotRun) != "" || a.Status == http.StatusMisdirectedRequest {
 		cause := errors.Errorf("status %d", a.Status)
@@ -164,7 +165,8 @@
 	return x.whole(a)
 }
 
-// whole passes on an answer that is not a stream, once all of it has come.
+// whole forwards an answer that is not a stream. It buffers the answer first, so that the
+// request can be retried if the answer breaks off, unless the answer is too long for that.
 func (x *run) whole(a *httptarget.Answer) *failure {
 	if a.Length() > maxKept {
 		return x.long(a)
@@ -174,7 +176,7 @@
 		return &failure{reason: ReasonBroken, result: balance.Failed, ran: true, cause: err}
 	}
 	if len(body) > maxKept {
-		return &failure{reason: ReasonBroken, result: balance.Failed, ran: true, cause: errors.New("answer without length too long")}
+		return &failure{reason: ReasonBroken, result: balance.Failed, ran: true, cause: errors.New("answer without Content-Length is too long to buffer")}
 	}
 	x.begun()
 	k := &kept{status: a.Status, header: x.answerHeader(a.Header), body: body}
@@ -182,13 +184,13 @@
 		return &failure{reason: ReasonFailed, result: balance.Answered, ran: true, answer: k, cause: errors.Errorf("status %d", a.Status)}
 	}
 	if x.verdict.Begun {
-		return &failure{reason: ReasonFailed, result: balance.Answered, ran: true, cause: errors.Errorf("status %d instead of the rest of a stream", a.Status)}
+		return &failure{reason: ReasonFailed, result: balance.Answered, ran: true, cause: errors.Errorf("status %d instead of the resumed stream", a.Status)}
 	}
 	x.pass(k)
 	return nil
 }
 
-// pass hands a whole answer to the caller.
+// pass sends a buffered answer to the caller.
 func (x *run) pass(k *kept) {
 	x.verdict.Begun = true
 	x.verdict.Status = k.status
@@ -199,7 +201,7 @@
 	}
 }
 
-// long passes on an answer of known length while it comes.
+// long forwards an answer of known length while it is being received.
 func (x *run) long(a *httptarget.Answer) *failure {
 	x.begun()
 	x.verdict.Begun = true
@@ -222,7 +224,7 @@
 	}
 }
 
-// stream passes on events as they come.
+// stream forwards a stream of events as they arrive.
 func (x *run) stream(ctx context.Context, a *httptarget.Answer, watch *time.Timer) *failure {
 	events := newEvents(a)
 	for {
@@ -245,15 +247,15 @@
 	}
 }
 
-// coalesceShare is the part, in percent, of the pause between events that callers aim
-// for during which a router that is short of processor time lets events come
-// together: the rest is for the engine and for the router's own queue. A stream of 40
-// events 50 ms apart takes 1.8 instead of 2.2 ms of processor time, the engine's and
-// the caller's part included (BenchmarkStreams).
+// coalesceShare is the longest time, in percent of the route's maximum pause, for which a
+// router that is short of processor time collects events before it forwards them together.
+// The rest of the pause is left to the engine and to the router's own queue. For a stream of
+// 40 events 50 ms apart this takes 1.8 ms of processor time instead of 2.2 ms, including the
+// engine's and the caller's part (BenchmarkStreams).
 const coalesceShare = 25
 
-// coalesce lets the next events of a stream come together where the router is short of
-// processor time.
+// coalesce waits for further events of a stream, to forward them together, if the router is
+// short of processor time.
 func (x *run) coalesce(ctx context.Context) {
 	d := time.Duration(x.loop.Coalesce() * float64(x.Route.MaxPause*coalesceShare/100))
 	if d > 0 {
@@ -261,7 +263,7 @@
 	}
 }
 
-// events passes on whole events.
+// events forwards a batch of whole events and restarts the silence timer.
 func (x *run) events(a *httptarget.Answer, events *events, batch []byte, watch *time.Timer) *failure {
 	if x.passed == 0 || !x.verdict.Begun {
 		x.startStream(a)
@@ -290,7 +292,7 @@
 	x.caller.Head(a.Status, x.answerHeader(a.Header), -1)
 }
 
-// answerHeader returns what is passed on of an answer's header.
+// answerHeader returns the headers of an answer that are forwarded to the caller.
 func (x *run) answerHeader(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
@@ -301,16 +303,16 @@
 	return out
 }
 
-// hopByHop lists the headers that concern one connection only (RFC 9110,
-// section 7.6.1), and the length, which is set anew.
+// hopByHop lists the headers that apply to one connection only (RFC 9110, section 7.6.1),
+// and Content-Length, which the router sets itself.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true,
 }
 
-// HopByHop reports whether a header, in canonical form, concerns one
-// connection only, given the values of the Connection header beside it.
+// HopByHop reports whether a header, whose name is in canonical form, applies to one
+// connection only. connection holds the values of the message's Connection header.
 func HopByHop(name string, connection []string) bool {
 	return hopByHop[name] || named(connection, name)
 }
@@ -326,10 +328,10 @@
 	return false
 }
 
-// eventEnd ends an event.
+// eventEnd is the empty line that ends an event.
 var eventEnd = []byte("\n\n")
 
-// indexEnd returns the index after the first whole event in b, -1 if none.
+// indexEnd returns the offset just after the first whole event in b, or -1 if there is none.
 func indexEnd(b []byte) int {
 	lf := bytes.Index(b, eventEnd)
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
--- a/internal/httptarget/conn.go
+++ b/internal/httptarget/conn.go
@@ -15,8 +15,8 @@
 	net.Conn
 	place
 	reader *bufio.Reader
-	// idleLimit is how long the target keeps the connection open unused, as
-	// it said; 0 if it did not.
+	// idleLimit is how long the target keeps an unused connection open according to its
+	// Keep-Alive header; 0 if it sent none.
 	idleLimit time.Duration
 	idleSince time.Time
 }
@@ -25,11 +25,12 @@
 	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer), place: p}
 }
 
-// quiet reports whether an unused connection is still open and nothing has
-// arrived on it: bytes there belong to no request.
+// quiet reports whether an unused connection is still open and has no unread bytes, which
+// would belong to no request.
 func (c *conn) quiet() bool { return c.reader.Buffered() == 0 && sockopt.Quiet(c.Conn) }
 
-// expired reports whether the target may be about to close the connection.
+// expired reports whether a connection has been unused for limit, or so long that the target
+// may be about to close it.
 func (c *conn) expired(now time.Time, limit time.Duration) bool {
 	if c.idleLimit > 0 {
 		limit = min(limit, c.idleLimit*idleShare/100)
@@ -37,7 +38,7 @@
 	return now.Sub(c.idleSince) >= limit
 }
 
-// keepAliveTimeout returns the timeout in a Keep-Alive header, 0 if none.
+// keepAliveTimeout returns the timeout given in a Keep-Alive header, or 0 if there is none.
 func keepAliveTimeout(header string) time.Duration {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/httptarget/ended_test.go
+++ b/internal/httptarget/ended_test.go
@@ -15,8 +15,8 @@
 	"github.com/stepcroft/stepcroft/internal/httptarget"
 )
 
-// TestEnded asks whether the processes of targets have ended, many times at once as where a
-// target breaks off all that it runs.
+// TestEnded calls Ended many times at once, as happens when a target breaks off all its
+// requests.
 func TestEnded(t *testing.T) {
 	g := group.New(t.Context())
 	defer g.Stop()
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestProbeIsKept has a probe's connection used by the next request.
+// TestProbeIsKept checks that the next request reuses the connection of a probe.
 func TestProbeIsKept(t *testing.T) {
 	g := group.New(t.Context())
 	defer g.Stop()
@@ -55,7 +55,7 @@
 	defer transport.Close()
 	address := server.Listener.Addr().String()
 	if transport.Ended(t.Context(), address, "t") {
-		t.Fatal("a sound target ended")
+		t.Fatal("a running target was reported as ended")
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -67,11 +67,11 @@
 	}
 	a.Close()
 	if s := transport.Stats(); s.Dialled != 1 || s.Reused != 1 {
-		t.Errorf("%+v, want one connection used again", s)
+		t.Errorf("%+v, want one connection, used twice", s)
 	}
 }
 
-// TestNobodyListens tells a refused connection from others that are not made.
+// TestNobodyListens checks that a refused connection differs from other failures to connect.
 func TestNobodyListens(t *testing.T) {
 	g := group.New(t.Context())
 	defer g.Stop()
--- a/internal/httptarget/httptarget.go
+++ b/internal/httptarget/httptarget.go
@@ -1,9 +1,7 @@
-// Package httptarget exchanges requests and answers with targets over
-// HTTP/1.1 connections of its own. It differs from the standard library's
-// client where a router must know more than a client: it never sends a
-// request a second time, says whether any byte can have reached the target,
-// skips answers that belong to earlier requests, and uses a connection again
-// only if nothing unexpected has arrived on it.
+// Package httptarget is the router's HTTP/1.1 client for targets. Unlike the client of the
+// standard library it never retries a request by itself, reports whether any byte can have
+// reached the target, skips answers that belong to earlier requests, and reuses a connection
+// only if no unexpected bytes have arrived on it.
 package httptarget
 
 import (
@@ -26,61 +24,58 @@
 )
 
 var (
-	// ErrNotSent means that no byte of the request can have reached the
-	// target.
+	// ErrNotSent means that no byte of the request can have reached the target.
 	ErrNotSent = errors.New("request not sent")
-	// ErrNobodyListens means that connecting to the target was refused, as where its
-	// process has ended. It is ErrNotSent, too.
-	ErrNobodyListens = errors.WithMessage(ErrNotSent, "nobody listens")
-	// ErrBroken means that the target may have run the request, and that its
-	// answer is lost or is none.
+	// ErrNobodyListens means that the target refused the connection, usually because its
+	// process has exited. It wraps ErrNotSent.
+	ErrNobodyListens = errors.WithMessage(ErrNotSent, "connection refused")
+	// ErrBroken means that the target may have run the request, but its answer is
+	// incomplete or invalid.
 	ErrBroken = errors.New("connection to target broke")
 )
 
 const (
-	// readBuffer is the size of a connection's read buffer, in bytes: an
-	// answer's head fits, and bodies are read past it.
+	// readBuffer is the size of a connection's read buffer in bytes, enough for the head of
+	// an answer. Large reads of a body bypass the buffer.
 	readBuffer = 4 << 10
-	// dialTimeout bounds the time to connect. Zones are a millisecond apart
-	// and a lost first packet is sent again after a second, by when another
-	// target is the better choice.
+	// dialTimeout bounds the time to connect. Zones are about a millisecond apart, and the
+	// kernel retransmits a lost SYN only after a second: trying another target is faster.
 	dialTimeout = 400 * time.Millisecond
-	// unackedTimeout is after how long without an acknowledgement the kernel
-	// gives a connection up: a few retransmissions on a link that loses
-	// packets, and well below the pause after which callers leave a stream.
+	// unackedTimeout is the time after which the kernel closes a connection whose data is
+	// not acknowledged (TCP_USER_TIMEOUT). It leaves time for a few retransmissions and is
+	// well below the pause after which callers abandon a stream.
 	unackedTimeout = 1500 * time.Millisecond
-	// writeTimeout bounds the time to hand a request over.
+	// writeTimeout bounds the time to write a request.
 	writeTimeout = 2 * time.Second
-	// maxIdle is for how long an unused connection is kept where the target
-	// does not say less.
+	// maxIdle is how long an unused connection is kept, unless the target's Keep-Alive
+	// header asks for less.
 	maxIdle = 8 * time.Second
-	// idleShare is the part, in percent, of the time that the target said it
-	// keeps an unused connection after which it is not used again: it may be
-	// closing it just then.
+	// idleShare is the percentage of the target's Keep-Alive timeout after which a
+	// connection is not reused, because the target may close it at that moment.
 	idleShare = 70
-	// maxStray is how many answers to earlier requests are skipped before a
-	// connection is given up.
+	// maxStray is the number of answers to earlier requests that are skipped before a
+	// connection is closed.
 	maxStray = 2
-	// asideBody is the size, in bytes, from which a body is written beside
-	// reading: the target may answer before it has read all of it.
+	// asideBody is the size in bytes from which a body is written by another goroutine
+	// while the answer is read: the target may answer before it has read the whole body.
 	asideBody = 4 << 10
 )
 
-// Request is what is sent. The head is the whole text up to and including
-// the empty line.
+// Request is a request to send. Head has the request line and the headers, up to and
+// including the empty line.
 type Request struct {
 	Method string
 	Head   []byte
 	Body   []byte
-	// ID is what the answer's IDHeader must say, if it says anything.
+	// ID is the value that the answer's IDHeader must have if it is present.
 	ID       string
 	IDHeader string
-	// Instance names the process that is meant: a connection that was made for
-	// another one at the same address is not used again.
+	// Instance names the process that the request is for. A connection made for another
+	// process at the same address is not reused.
 	Instance string
 }
 
-// Stats are running totals.
+// Stats counts connections and unexpected answers since the start.
 type Stats struct {
 	Dialled    int64 `json:"dialled"`
 	DialFailed int64 `json:"dial_failed"`
@@ -89,8 +84,8 @@
 	Dirty      int64 `json:"unexpected_bytes"`
 }
 
-// Transport holds the connections to targets. Use New to make one; it is safe
-// for use by many goroutines.
+// Transport holds the connections to targets. Use New to make one. It is safe for concurrent
+// use.
 type Transport struct {
 	group  *group.Group
 	dialer net.Dialer
@@ -103,7 +98,7 @@
 	dialled, dialFailed, reused, stray, dirty atomic.Int64
 }
 
-// New returns a transport without connections whose goroutines run in g.
+// New returns a transport that runs its goroutines in g.
 func New(g *group.Group) *Transport {
 	return &Transport{
 		group: g,
@@ -116,7 +111,7 @@
 	}
 }
 
-// Stats returns the totals since the start.
+// Stats returns the counts since the start.
 func (t *Transport) Stats() Stats {
 	return Stats{
 		Dialled: t.dialled.Load(), DialFailed: t.dialFailed.Load(), Reused: t.reused.Load(),
@@ -124,9 +119,9 @@
 	}
 }
 
-// Send sends r to the target at address and returns its answer's head. The
-// connection closes as soon as ctx ends. An error wraps ErrNotSent or
-// ErrBroken. The caller must call Close on the answer.
+// Send sends r to the target at address and reads the head of its answer. The connection is
+// closed as soon as ctx ends. An error wraps ErrNotSent or ErrBroken. The caller must call
+// Close on the answer.
 func (t *Transport) Send(ctx context.Context, address string, r Request) (*Answer, error) {
 	c, err := t.connect(ctx, place{address, r.Instance})
 	if err != nil {
@@ -145,7 +140,7 @@
 	return a, nil
 }
 
-// place is a process at an address.
+// place identifies a process at an address, to which connections belong.
 type place struct{ address, instance string }
 
 func (t *Transport) connect(ctx context.Context, p place) (*conn, error) {
@@ -166,7 +161,7 @@
 	return newConn(raw, p), nil
 }
 
-// notSent returns what an error of connecting means.
+// notSent returns the exported error for a failure to connect.
 func notSent(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return ErrNobodyListens
@@ -174,13 +169,13 @@
 	return ErrNotSent
 }
 
-// probeTime bounds the time of a probe: connecting is refused within a round trip, which
-// takes some milliseconds between zones.
+// probeTime bounds the time of a probe. A refusal to connect arrives within a round trip,
+// which takes some milliseconds between zones.
 const probeTime = 100 * time.Millisecond
 
-// Ended reports whether the process of a target has ended: connecting to it is refused.
-// Where a target broke off many answers at once it is asked once for all of them. A
-// connection that comes about is kept for use.
+// Ended reports whether the process of a target has exited, which it takes a refused
+// connection to mean. Concurrent calls for the same process share one probe, as when a
+// target breaks off many answers at once. A connection that succeeds is kept for reuse.
 func (t *Transport) Ended(ctx context.Context, address, instance string) bool {
 	p := place{address, instance}
 	ended, _, _ := t.probes.Do(address+" "+instance, func() (any, error) { return t.probe(ctx, p), nil })
@@ -200,7 +195,7 @@
 	return false
 }
 
-// take returns an unused connection, the one used last, or nil.
+// take returns the usable connection that was used last, or nil, and closes unusable ones.
 func (t *Transport) take(p place) *conn {
 	now := clock.Now()
 	for {
@@ -241,7 +236,7 @@
 	t.idle[c.place] = append(t.idle[c.place], c)
 }
 
-// Sweep closes unused connections that are too old. Call it now and then.
+// Sweep closes expired unused connections. Call it periodically.
 func (t *Transport) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -274,7 +269,7 @@
 	clear(t.idle)
 }
 
-// Answer is a target's answer, whose body is read as it comes.
+// Answer is a target's answer. Its head has been read; Read reads the body as it arrives.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -284,8 +279,8 @@
 	method    string
 	response  *http.Response
 	unwatch   func() bool
-	// writing is closed when a body that is written aside has been written;
-	// nil where the request was written at once.
+	// writing is closed once a body that another goroutine writes has been written, and
+	// wrote then has the error. It is nil if the request was written synchronously.
 	writing chan struct{}
 	wrote   error
 	whole   bool
@@ -308,8 +303,8 @@
 	return nil
 }
 
-// readHead reads the head of the answer to r, skipping interim answers and
-// answers to earlier requests on the connection.
+// readHead reads the head of the answer to r. It skips interim (1xx) answers and answers to
+// earlier requests on the connection.
 func (a *Answer) readHead(r Request) error {
 	for range maxStray + 1 {
 		res, err := readResponse(a.conn.reader, r.Method)
@@ -325,7 +320,7 @@
 		}
 		a.transport.stray.Add(1)
 		if res.ContentLength < 0 && res.Close {
-			return errors.Errorf("answer to another request %s without an end", id)
+			return errors.Errorf("answer to another request %s has no end before the connection closes", id)
 		}
 		if _, err := io.Copy(io.Discard, res.Body); err != nil {
 			return errors.Wrapf(err, "skip answer to another request %s", id)
@@ -345,21 +340,19 @@
 			return res, nil
 		}
 		if res.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("target switches protocols unasked")
+			return nil, errors.New("target switches protocols without a request to do so")
 		}
 	}
 }
 
-// SetReadDeadline sets the time by which the next byte of the answer must
-// have come.
+// SetReadDeadline sets the time by which the next byte of the answer must have arrived.
 func (a *Answer) SetReadDeadline(t time.Time) error { return a.conn.SetReadDeadline(t) }
 
-// Length returns the length of the body in bytes, -1 if the head does not
-// tell it.
+// Length returns the length of the body in bytes, or -1 if it is unknown.
 func (a *Answer) Length() int64 { return a.response.ContentLength }
 
-// Read reads the body; io.EOF means that all of it has come. A body that was
-// cut off ends with another error.
+// Read reads the body. It returns io.EOF at the end of a complete body and another error if
+// the body was cut off.
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.response.Body.Read(b)
 	if errors.Is(err, io.EOF) {
@@ -372,8 +365,8 @@
 	return n, nil
 }
 
-// Close ends the exchange. The connection is kept if the answer was read to
-// its end, the request was written, and nothing follows the answer.
+// Close ends the exchange. The connection is kept for reuse if the whole request has been
+// written, the answer was read to its end and no bytes follow it.
 func (a *Answer) Close() {
 	if !a.unwatch() || !a.reusable() {
 		_ = a.conn.Close()
--- a/internal/httptarget/httptarget_test.go
+++ b/internal/httptarget/httptarget_test.go
@@ -25,8 +25,8 @@
 	RunSpecs(t, "httptarget")
 }
 
-// play accepts connections and hands each to f, by its number; the address
-// is returned.
+// play starts a server that calls f with each connection and its number, and returns the
+// server's address.
 func play(f func(n int, c net.Conn)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -60,7 +60,7 @@
 	return l.Addr().String()
 }
 
-// requests calls f for each request that comes in on c.
+// requests calls f for each request received on c, until f returns false.
 func requests(c net.Conn, f func(n int, r *http.Request) bool) {
 	reader := bufio.NewReader(c)
 	for n := 0; ; n++ {
@@ -86,7 +86,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// rig is a transport under test.
+// rig is the transport under test.
 type rig struct{ *httptarget.Transport }
 
 func newRig() rig {
@@ -109,7 +109,7 @@
 }
 
 var _ = Describe("Transport", func() {
-	It("uses a connection again", func() {
+	It("reuses a connection", func() {
 		r := newRig()
 		address := play(func(_ int, c net.Conn) {
 			requests(c, func(n int, q *http.Request) bool {
@@ -123,7 +123,7 @@
 		Expect(r.Stats().Dialled).To(Equal(int64(1)))
 	})
 
-	It("uses no connection again that was made for another process at its address", func() {
+	It("does not reuse a connection that was made for another process at the same address", func() {
 		r := newRig()
 		address := play(func(_ int, c net.Conn) {
 			requests(c, func(_ int, q *http.Request) bool {
@@ -158,7 +158,7 @@
 		Expect(r.Stats().Stray).To(Equal(int64(1)))
 	})
 
-	It("does not use a connection again on which more came than the answer", func() {
+	It("does not reuse a connection on which bytes follow the answer", func() {
 		for name, pause := range map[string]time.Duration{"at once": 0, "later": 30 * time.Millisecond} {
 			r := newRig()
 			address := play(func(n int, c net.Conn) {
@@ -178,7 +178,7 @@
 		}
 	})
 
-	It("takes an answer that comes before a long body has been read, and drops the connection", func() {
+	It("accepts an answer that arrives before a long body has been read, and closes the connection", func() {
 		r := newRig()
 		long := strings.Repeat("x", 4<<20)
 		address := play(func(_ int, c net.Conn) {
@@ -194,7 +194,7 @@
 		Expect(r.Stats().Reused).To(BeZero())
 	})
 
-	It("closes a connection when its request is given up", func() {
+	It("closes a connection when its request is abandoned", func() {
 		r := newRig()
 		closed := make(chan bool, 1)
 		address := play(func(_ int, c net.Conn) {
@@ -211,7 +211,7 @@
 		Eventually(closed).Should(Receive(BeTrue()))
 	})
 
-	It("says that nothing was sent where there is nobody", func() {
+	It("returns ErrNotSent if the connection is refused", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := l.Addr().String()
@@ -221,8 +221,7 @@
 	})
 })
 
-// naive reads an answer as the standard library does, from text that ends
-// with its connection.
+// naive reads an answer with the standard library, as if the connection closed after text.
 func naive(text []byte) (string, error) {
 	res, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), &http.Request{Method: http.MethodPost})
 	if err != nil {
@@ -241,7 +240,7 @@
 		"empty":   "HTTP/1.1 204 No Content\r\nX-Id: r\r\n\r\n",
 		"no end":  "HTTP/1.1 200 OK\r\nX-Id: r\r\nConnection: close\r\n\r\nhello",
 	}
-	It("is what a naive reader takes it for", func() {
+	It("is read as by the standard library", func() {
 		for name, text := range texts {
 			for cut := range len(text) + 1 {
 				address := play(func(_ int, c net.Conn) {
@@ -253,7 +252,7 @@
 				got, err := newRig().ask(address, "r", "b")
 				plain := strings.TrimPrefix(text[:cut], "HTTP/1.1 100 Continue\r\n\r\n")
 				if name == "interim" && len(plain) == cut {
-					// Nothing but an interim answer, or less.
+					// The text has at most the interim answer.
 					Expect(err).To(HaveOccurred(), "%s cut at %d", name, cut)
 					continue
 				}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,5 +1,6 @@
-// Package ledger holds what callers asked for and what the stand-ins served.
-// The gap and the other measures come from it, never from routers' counters.
+// Package ledger records, in a load test, what callers requested and what the stand-in
+// targets served. The fairness gap and the other measures are computed from it, and never
+// from the routers' own counters.
 package ledger
 
 import (
@@ -11,11 +12,11 @@
 	"github.com/stepcroft/stepcroft/internal/scenario"
 )
 
-// SampleTime is how often the ledger is read.
+// SampleTime is the interval between two calls of Sample.
 const SampleTime = 20 * time.Millisecond
 
-// Ledger is the books of one run. Use New to make one; it is safe for use by
-// many goroutines.
+// Ledger holds the requests and accounts of one load test. Use New to make one. It is safe
+// for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	requests map[string]*entry
@@ -27,12 +28,12 @@
 type entry struct {
 	pool    *poolLedger
 	account *account
-	// began counts how often a target started it.
+	// began is the number of times that a target started the request.
 	began   int
 	cost    float64
 	waiting bool
 	repeat  bool
-	// notRun is set where its caller was told that it did not run.
+	// notRun is set if the caller was told that the request did not run.
 	notRun bool
 }
 
@@ -41,30 +42,32 @@
 	running  int
 	waiting  int
 	accounts map[string]*account
-	// starved is set if nothing waited at some moment since the last sample.
+	// starved is set if there was a moment since the last sample when no request waited.
 	starved bool
 	samples int
 	busy    float64
 	idle    float64
 }
 
-// account is an organisation's in one pool.
+// account holds the totals of one organisation in one pool.
 type account struct {
 	weight  float64
 	served  float64
 	waiting int
-	// emptied is set if nothing waited at some moment since the last sample.
+	// emptied is set if there was a moment since the last sample when none of the
+	// organisation's requests waited.
 	emptied bool
 	series  []point
 }
 
-// point is one sample of an account.
+// point is one sample of an account: the cost served so far, and whether the organisation
+// had a request waiting at all times since the previous sample.
 type point struct {
 	served     float64
 	backlogged bool
 }
 
-// New returns empty books for a scenario.
+// New returns a ledger with an empty account for each organisation in each pool it uses.
 func New(s *scenario.Scenario) *Ledger {
 	l := &Ledger{requests: map[string]*entry{}, pools: map[string]*poolLedger{}}
 	for _, p := range s.Pools {
@@ -80,7 +83,7 @@
 	return l
 }
 
-// Submitted notes that a caller sends a request.
+// Submitted records that a caller sends a request.
 func (l *Ledger) Submitted(a scenario.Arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +96,7 @@
 	}
 }
 
-// stopWaiting notes that a request runs, or was answered without.
+// stopWaiting records that a request has started to run, or was answered without running.
 func (e *entry) stopWaiting() {
 	if !e.waiting {
 		return
@@ -109,7 +112,7 @@
 	}
 }
 
-// Answered notes that a caller has its answer, and whether that said that the
+// Answered records that a caller has its answer. notRun is set if the answer says that the
 // request did not run.
 func (l *Ledger) Answered(tag string, notRun bool) {
 	l.mu.Lock()
@@ -119,8 +122,8 @@
 	e.stopWaiting()
 }
 
-// NotRunButRan returns the number of requests whose callers were told that
-// they did not run, and that were started, before or after.
+// NotRunButRan returns the number of requests that a target started, before or after their
+// callers were told that they did not run.
 func (l *Ledger) NotRunButRan() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -179,8 +182,8 @@
 	}
 }
 
-// Doubled returns the number of requests that may not be repeated and were
-// started more than once.
+// Doubled returns the number of requests that must not be repeated but were started more
+// than once.
 func (l *Ledger) Doubled() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -193,7 +196,7 @@
 	return n
 }
 
-// Sample reads all accounts once.
+// Sample appends a sample to each account. Call it every SampleTime.
 func (l *Ledger) Sample() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -212,26 +215,25 @@
 	}
 }
 
-// Gap is a difference in weighted service between two organisations of a
-// pool over a time in which both were backlogged throughout.
+// Gap is how far one organisation of a pool got ahead of another in served cost per weight,
+// during a period in which both had requests waiting throughout.
 type Gap struct {
 	// Size is in units of the largest request cost.
 	Size float64 `json:"size"`
 	Pool string  `json:"pool"`
-	// Ahead and Behind are the organisations.
+	// Ahead and Behind are the organisation that gained and the one that lost.
 	Ahead  string `json:"ahead"`
 	Behind string `json:"behind"`
-	// From and To are seconds since the start.
+	// From and To are the ends of the period, in seconds since the start.
 	From float64 `json:"from"`
 	To   float64 `json:"to"`
 }
 
-// GapSeriesStep is the time between two entries of a series of gaps, in
-// seconds.
+// GapSeriesStep is the time between two entries of a series of gaps, in seconds.
 const GapSeriesStep = 0.5
 
-// Gaps returns the largest gap over all pairs and times, and the largest
-// open in each step of time.
+// Gaps returns the largest gap over all pairs of organisations and all periods, and a series
+// with the largest gap of any pair in each step of GapSeriesStep.
 func (l *Ledger) Gaps() (Gap, []float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -254,7 +256,7 @@
 	return worst, series
 }
 
-// raise makes the entry of a series that a sample falls into at least size.
+// raise raises the entry of a series for the time of a sample to size, if it is lower.
 func raise(series []float64, sample int, size float64) []float64 {
 	i := int(seconds(sample) / GapSeriesStep)
 	for len(series) <= i {
@@ -272,9 +274,9 @@
 	return g
 }
 
-// pairGap returns the largest change of a's lead over b. From is when the
-// lead was least and To when it was most, in whichever order they came. Each
-// is called with every sample and the gap at it.
+// pairGap returns the largest change of a's lead over b while both had requests waiting.
+// From is when the lead was smallest and To when it was largest, whichever came first. each
+// is called for every sample with the gap reached by then.
 func pairGap(a, b *account, each func(sample int, size float64)) Gap {
 	var worst Gap
 	var low, high float64
@@ -302,8 +304,8 @@
 
 func seconds(samples int) float64 { return float64(samples) * SampleTime.Seconds() }
 
-// Use returns, over all slots, the part of the time that they were busy, and
-// the part that they were idle while work waited.
+// Use returns the fraction of the time, over all slots, that they were busy, and the fraction
+// that they were idle while requests waited.
 func (l *Ledger) Use() (busy, idle float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -317,7 +319,7 @@
 	return busy / float64(slots), idle / float64(slots)
 }
 
-// Service returns what each organisation was served over all pools.
+// Service returns the cost served to each organisation, over all pools.
 func (l *Ledger) Service() map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -13,7 +13,8 @@
 	RunSpecs(t, "ledger")
 }
 
-// series makes an account that is backlogged where served is not negative.
+// series returns an account with one sample for each value. A negative value stands for its
+// absolute value in a sample without waiting requests.
 func series(served ...float64) *account {
 	a := &account{weight: 1}
 	for _, s := range served {
@@ -37,7 +38,7 @@
 
 var _ = Describe("The ledger's gap", func() {
 	for name, c := range gapCases {
-		It("is the largest change of lead in a joint backlog: "+name, func() {
+		It("is the largest change of lead while both are backlogged: "+name, func() {
 			none := func(int, float64) {}
 			Expect(pairGap(c.a, c.b, none).Size).To(Equal(c.size))
 			Expect(pairGap(c.b, c.a, none).Size).To(Equal(c.size))
--- a/internal/request/record.go
+++ b/internal/request/record.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Record is what a router remembers of a request it accepted.
+// Record holds the state of a request that a router accepted, and its answer.
 type Record struct {
 	ID           ID
 	Organisation string
@@ -13,17 +13,17 @@
 	Reason       Reason
 	Status       int
 	ContentType  string
-	// Body is the whole answer, if it was kept.
+	// Body is the complete body of the answer, if it was kept.
 	Body []byte
-	// Truncated is set where the answer was too large to keep.
+	// Truncated is set if the body was too large to keep.
 	Truncated bool
 	used      bool
 	cancel    func()
 }
 
-// Records remembers a bounded number of requests and a bounded number of
-// bytes of their answers, forgetting the oldest ended ones first. Use
-// NewRecords to make one; it is safe for use by many goroutines.
+// Records keeps the records of a bounded number of requests, with a bounded total size of
+// their answers. It evicts the oldest ended requests first and never evicts one in progress.
+// Use NewRecords to make one. It is safe for concurrent use.
 type Records struct {
 	mu       sync.Mutex
 	entries  map[ID]*list.Element
@@ -34,8 +34,8 @@
 	maxBody  int
 }
 
-// NewRecords returns an empty set that keeps up to count records, bytes of
-// answers in all and body bytes of one answer.
+// NewRecords returns an empty set that keeps up to count records, up to bytes bytes of
+// answers in total and up to body bytes of one answer.
 func NewRecords(count, bytes, body int) *Records {
 	return &Records{
 		entries:  map[ID]*list.Element{},
@@ -46,7 +46,7 @@
 	}
 }
 
-// Reserve notes that an id was handed out and not used yet.
+// Reserve adds the record of an id that was handed out but is not used yet.
 func (r *Records) Reserve(id ID, organisation string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,9 +54,9 @@
 	r.trim()
 }
 
-// Open notes that a request with a reserved id begins; cancel is called when
-// its caller cancels it by id. It returns false, and the request must not
-// run, if the id is not reserved for the organisation or was used before.
+// Open marks the request with a reserved id as in progress. Cancel will call cancel. Open
+// returns false, and the request must not run, if the id is not reserved for the
+// organisation or was used before.
 func (r *Records) Open(id ID, organisation string, cancel func()) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,7 +72,7 @@
 	return true
 }
 
-// Close notes how a request ended.
+// Close stores how a request ended.
 func (r *Records) Close(end Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,7 +90,8 @@
 	r.trim()
 }
 
-// trim forgets ended records, oldest first, until the bounds are kept.
+// trim evicts records of requests that are not in progress, oldest first, until the bounds
+// are met.
 func (r *Records) trim() {
 	e := r.order.Front()
 	for e != nil && (r.order.Len() > r.maxCount || r.bytes > r.maxBytes) {
@@ -104,7 +105,7 @@
 	}
 }
 
-// Lookup returns what is known of a request.
+// Lookup returns the record of a request.
 func (r *Records) Lookup(id ID) (Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,7 +116,7 @@
 	return *e.Value.(*Record), true
 }
 
-// Cancel cancels a request in progress. It reports whether there was one.
+// Cancel cancels a request and reports whether it was in progress.
 func (r *Records) Cancel(id ID) bool {
 	record, ok := r.Lookup(id)
 	if !ok || record.cancel == nil {
@@ -125,7 +126,7 @@
 	return true
 }
 
-// Len returns the number of records held.
+// Len returns the number of records.
 func (r *Records) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,6 +1,6 @@
-// Package request holds the life of a caller's request: its id, its outcome,
-// the reasons for refusing or retrying it, and the records by which a caller
-// can ask again.
+// Package request defines a caller's request over its lifetime: its id, its outcome, the
+// reasons for refusing or retrying it, and the records in which a caller can look it up
+// later.
 package request
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBadID means that a text is no request id.
+// ErrBadID means that a text is not a valid request id.
 var ErrBadID = errors.New("not a request id")
 
-// Outcome says what became of a request. Every answer states one.
+// Outcome says whether a request ran. Every answer carries one.
 type Outcome string
 
 // The outcomes.
@@ -26,13 +26,13 @@
 	Completed Outcome = "completed"
 	// NotRun means that no target ran any of it.
 	NotRun Outcome = "not-run"
-	// Unknown means that a target may have run it, or part of it.
+	// Unknown means that a target may have run all or part of it.
 	Unknown Outcome = "unknown"
-	// InProgress is said of a request asked about before its end.
+	// InProgress is the outcome of a request that is looked up before it has ended.
 	InProgress Outcome = "in-progress"
 )
 
-// Reason is a stable word for why a request was refused or retried.
+// Reason is a stable identifier of why a request was refused or retried.
 type Reason string
 
 // Reasons for refusing a request.
@@ -68,10 +68,10 @@
 	RetryResume      Reason = "retry-resume"
 )
 
-// policy of a reason towards the caller.
+// answer is how a refusal for some reason is answered.
 type answer struct {
 	status int
-	// back is when to come back, in seconds; 0 means it will not help.
+	// back is the Retry-After in seconds; 0 means that a retry will not help.
 	back int
 }
 
@@ -99,18 +99,18 @@
 	ReasonIncarnationGone: {status: http.StatusGone},
 }
 
-// statusClientClosed is the customary status for a caller that went away.
+// statusClientClosed is the status that proxies log for a client that has disconnected.
 const statusClientClosed = 499
 
 // Status returns the HTTP status of a refusal.
 func (r Reason) Status() int { return answers[r].status }
 
-// RetryAfter returns after how many seconds to come back; 0 means that
-// coming back will not help.
+// RetryAfter returns the number of seconds after which to retry, or 0 if a retry will not
+// help.
 func (r Reason) RetryAfter() int { return answers[r].back }
 
-// Reasons returns every reason for refusing and for retrying, in the order
-// in which they are documented.
+// Reasons returns all reasons for refusing and for retrying, in the order in which the
+// documentation lists them.
 func Reasons() []Reason {
 	return []Reason{
 		ReasonBadRequest, ReasonTooLarge, ReasonUnauthorized, ReasonUnknownModel,
@@ -123,21 +123,21 @@
 	}
 }
 
-// ID identifies a request for the whole fleet: the router that accepted it,
-// that router's incarnation, and a number.
+// ID identifies a request within the fleet: by the router that accepted it, that router's
+// incarnation (which changes each time it starts) and a number.
 type ID struct {
 	Router      string
 	Incarnation uint64
 	Number      uint64
 }
 
-// String returns the form used in headers: router.incarnation.number, the
-// numbers in hexadecimal.
+// String returns the form used in headers: router.incarnation.number, with both numbers in
+// hexadecimal.
 func (id ID) String() string {
 	return fmt.Sprintf("%s.%x.%x", id.Router, id.Incarnation, id.Number)
 }
 
-// ParseID reads the form that String writes.
+// ParseID parses the form that String returns. Its errors wrap ErrBadID.
 func ParseID(text string) (ID, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != 3 || parts[0] == "" {
@@ -154,9 +154,9 @@
 	return ID{Router: parts[0], Incarnation: incarnation, Number: number}, nil
 }
 
-// Ticket is a request waiting for or holding a slot. What the caller said
-// does not change; Served counts cost units as they stream and Decision
-// carries the control thread's answer to the request's own goroutine.
+// Ticket is a request that waits for or occupies an engine's slot. It is shared by the
+// request's goroutine and the control thread, which assigns the slots. What the methods
+// return does not change.
 type Ticket struct {
 	id           ID
 	organisation string
@@ -166,36 +166,34 @@
 	arrived      time.Time
 	hint         float64
 
-	// Served is the cost so far, raised by the request's own goroutine.
+	// Served is the cost served so far, in cost units; the request's goroutine adds to it.
 	Served atomic.Int64
-	// Decision receives what the control thread decides, one at a time.
+	// Decision carries the control thread's decisions to the request's goroutine, one at a time.
 	Decision chan Decision
 }
 
-// Decision is the control thread's answer to a waiting request: a slot, or a
-// reason why there will be none.
+// Decision is what the control thread decides about a waiting request: the engine whose slot
+// it gets, or the reason why it is refused.
 type Decision struct {
 	Engine  string
 	Address string
-	// Refused is empty where a slot was assigned.
+	// Refused is empty if a slot was assigned.
 	Refused Reason
-	// After is when to come back, in seconds, where the control thread knows
-	// better than the reason's own default.
+	// After overrides the RetryAfter of the reason, in seconds; 0 if it does not.
 	After int
 }
 
-// End is how a request's run on an engine ended.
+// End describes how a request's run on an engine ended.
 type End struct {
-	// Cost is what is known to have been served, in cost units.
+	// Cost is the cost known to have been served, in cost units.
 	Cost float64
-	// Partial is set where the run was cut short, so that more may have been
-	// served than is known.
+	// Partial is set if the run was cut short, so that more than Cost may have been served.
 	Partial bool
-	// Failed is set where the engine did not answer as it should.
+	// Failed is set if the engine did not answer properly.
 	Failed bool
 }
 
-// Spec is what a ticket is made from.
+// Spec holds the parameters of a new ticket.
 type Spec struct {
 	ID           ID
 	Organisation string
@@ -203,7 +201,7 @@
 	Priority     int
 	Deadline     time.Time
 	Arrived      time.Time
-	// Hint is the caller's guess of the cost, 0 if none.
+	// Hint is the caller's estimate of the cost; 0 if none.
 	Hint float64
 }
 
@@ -224,7 +222,7 @@
 // ID returns the request's id.
 func (t *Ticket) ID() ID { return t.id }
 
-// Organisation returns whose request it is.
+// Organisation returns the organisation that sent the request.
 func (t *Ticket) Organisation() string { return t.organisation }
 
 // Pool returns the pool of engines that can run it.
@@ -233,11 +231,11 @@
 // Priority returns the caller's priority within its organisation, 0 to 9.
 func (t *Ticket) Priority() int { return t.priority }
 
-// Deadline returns when the answer stops being of use.
+// Deadline returns when the caller stops waiting for the answer.
 func (t *Ticket) Deadline() time.Time { return t.deadline }
 
-// Arrived returns when the router accepted it.
+// Arrived returns when the router accepted the request.
 func (t *Ticket) Arrived() time.Time { return t.arrived }
 
-// Hint returns the caller's guess of the cost, 0 if none.
+// Hint returns the caller's estimate of the cost, or 0 if it gave none.
 func (t *Ticket) Hint() float64 { return t.hint }
--- a/internal/request/request_test.go
+++ b/internal/request/request_test.go
@@ -31,7 +31,7 @@
 func id(n uint64) request.ID { return request.ID{Router: "r1", Incarnation: 7, Number: n} }
 
 var _ = Describe("Records", func() {
-	It("lets an id be used once, and only by the organisation it was given to", func() {
+	It("lets an id be used once, and only by the organisation for which it was reserved", func() {
 		r := request.NewRecords(10, 1000, 100)
 		r.Reserve(id(1), "water")
 		Expect(r.Open(id(1), "heating", func() {})).To(BeFalse())
@@ -42,7 +42,7 @@
 		Expect(r.Open(id(2), "water", func() {})).To(BeFalse())
 	})
 
-	It("keeps within its bounds and never forgets a request in progress", func() {
+	It("stays within its bounds and never evicts a request in progress", func() {
 		r := request.NewRecords(5, 1000, 100)
 		r.Reserve(id(0), "water")
 		Expect(r.Open(id(0), "water", func() {})).To(BeTrue())
@@ -57,7 +57,7 @@
 		Expect(kept.Outcome).To(Equal(request.InProgress))
 	})
 
-	It("says so where an answer was too large to keep", func() {
+	It("marks an answer that was too large to keep", func() {
 		r := request.NewRecords(5, 1000, 100)
 		r.Reserve(id(1), "water")
 		r.Open(id(1), "water", func() {})
@@ -101,13 +101,13 @@
 		id, err := request.ParseID(text)
 		if err != nil {
 			if !errors.Is(err, request.ErrBadID) {
-				t.Errorf("error is no ErrBadID: %v", err)
+				t.Errorf("error does not wrap ErrBadID: %v", err)
 			}
 			return
 		}
 		again, err := request.ParseID(id.String())
 		if err != nil || again != id {
-			t.Errorf("%q came back as %v, %v", text, again, err)
+			t.Errorf("%q was parsed, formatted and parsed again to %v, %v", text, again, err)
 		}
 	})
 }
