--- a/internal/control/admit.go
+++ b/internal/control/admit.go
@@ -10,17 +10,17 @@
 
 // bucket is a token bucket for an organisation's rate limit.
 type bucket struct {
-	tokens float64
-	filled time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
-// take takes one token; otherwise it returns after how long there is one.
+// take takes one token. If there is none it returns the time until there is one.
 func (b *bucket) take(rate float64, now time.Time) (time.Duration, bool) {
-	if b.filled.IsZero() {
+	if b.refilledAt.IsZero() {
 		b.tokens = max(rate, 1)
 	}
-	b.tokens = min(b.tokens+rate*now.Sub(b.filled).Seconds(), max(rate, 1))
-	b.filled = now
+	b.tokens = min(b.tokens+rate*now.Sub(b.refilledAt).Seconds(), max(rate, 1))
+	b.refilledAt = now
 	if b.tokens >= 1 {
 		b.tokens--
 		return 0, true
@@ -28,8 +28,9 @@
 	return time.Duration((1 - b.tokens) / rate * float64(time.Second)), false
 }
 
-// admit returns why a request is refused at the door and after how many
-// seconds to come back, or an empty reason.
+// admit decides whether a new request may be queued. It returns an empty reason,
+// or why the request is refused and, if known, after how many seconds the caller
+// should retry.
 func (s *State) admit(p *pool, t *request.Ticket, now time.Time) (request.Reason, int) {
 	if p == nil {
 		return request.ReasonUnknownModel, 0
@@ -54,10 +55,10 @@
 	if o.Limits.Rate <= 0 {
 		return "", 0
 	}
-	b := p.rates[o.Name]
+	b := p.rateLimits[o.Name]
 	if b == nil {
 		b = &bucket{}
-		p.rates[o.Name] = b
+		p.rateLimits[o.Name] = b
 	}
 	if wait, ok := b.take(o.Limits.Rate, now); !ok {
 		return request.ReasonRateLimit, max(1, int(math.Ceil(wait.Seconds())))
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -15,13 +15,13 @@
 	"github.com/stepcroft/stepcroft/internal/request"
 )
 
-// discard is an outlet that leads nowhere.
+// discard is an outlet that drops all decisions and messages.
 type discard struct{}
 
 func (discard) Decide(*request.Ticket, request.Decision) {}
 func (discard) Send(member.Member, message.Message)      {}
 
-// size is a fleet as one of its routers sees it.
+// size is the size of a fleet.
 type size struct{ routers, organisations, backlogged, engines int }
 
 func (s size) String() string {
@@ -37,8 +37,8 @@
 
 func organisationName(i int) string { return fmt.Sprintf("organisation-%d", i) }
 
-// loaded returns a router's state in which every backlogged organisation
-// waits, here and at the others.
+// loaded returns a router's state in which every backlogged organisation has
+// requests waiting at this router and at all others.
 func loaded(b *testing.B, z size) (*control.State, time.Time) {
 	var objects []port.Object
 	add := func(kind, name string, spec any) {
@@ -102,7 +102,8 @@
 	})
 }
 
-// BenchmarkRequest is a request that arrives and one that ends, in a backlog.
+// BenchmarkRequest measures the arrival and the end of a request while there is
+// a backlog.
 func BenchmarkRequest(b *testing.B) {
 	for _, z := range sizes {
 		b.Run(z.String(), func(b *testing.B) {
@@ -117,7 +118,7 @@
 	}
 }
 
-// BenchmarkReport is one report of another router.
+// BenchmarkReport measures the handling of another router's report.
 func BenchmarkReport(b *testing.B) {
 	for _, z := range sizes {
 		b.Run(z.String(), func(b *testing.B) {
@@ -131,7 +132,7 @@
 	}
 }
 
-// BenchmarkTick is the periodic work of a router.
+// BenchmarkTick measures the periodic work of a router.
 func BenchmarkTick(b *testing.B) {
 	for _, z := range sizes {
 		b.Run(z.String(), func(b *testing.B) {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,8 +1,8 @@
-// Package control is the router's control state: which requests wait, which
-// slots are free, and what the fleet is doing. It is a plain state machine;
-// time and randomness come in as arguments and decisions go out through an
-// Outlet, so that one goroutine drives it in production and a seeded test
-// drives it in CI.
+// Package control holds a router's control state: the requests that wait, the
+// free slots, and what is known of the other routers. It is a plain state
+// machine. Time and randomness are passed in and decisions go out through an
+// Outlet, so that a test can run it deterministically. In production a single
+// goroutine drives it.
 package control
 
 import (
@@ -20,9 +20,10 @@
 	"github.com/stepcroft/stepcroft/internal/request"
 )
 
-// Outlet carries out what the state decides.
+// Outlet carries out the decisions of a State.
 type Outlet interface {
-	// Decide tells a waiting request's goroutine its slot or its refusal.
+	// Decide passes the engine or the reason of a refusal to the goroutine of a
+	// waiting request.
 	Decide(t *request.Ticket, d request.Decision)
 	// Send sends a message to another router.
 	Send(to member.Member, m message.Message)
@@ -33,18 +34,18 @@
 	Self member.Member
 	// Period is the time between two reports.
 	Period time.Duration
-	// Timeout is after how long without a report a router counts as dead.
+	// Timeout is the time without a message after which a router counts as dead.
 	Timeout time.Duration
 	// MaxWaiting bounds the requests queued at this router.
 	MaxWaiting int
-	// ViewDelay holds reports back before they are used, for experiments.
+	// ViewDelay delays the use of reports received, for experiments.
 	ViewDelay time.Duration
-	// Policy overrides the pools' policies unless empty, for experiments.
+	// Policy overrides the policies of all pools if not empty, for experiments.
 	Policy string
 }
 
-// State is one router's control state. Use New to make one; it is for one
-// goroutine only.
+// State is one router's control state. Use New to make one. It is not safe for
+// concurrent use.
 type State struct {
 	options  Options
 	random   *rand.Rand
@@ -54,70 +55,74 @@
 	view     *fleetview.View
 	slots    *place.Slots
 	pools    map[string]*pool
-	running  map[*request.Ticket]*run
-	// held are the slots of other owners that this router uses.
-	held     map[heldKey]bool
-	waiting  int
-	sequence uint64
-	leaving  bool
-	closed   bool
-	delayed  []delayed
-	owners   map[string]message.RouterID
-	// turns are the other owners of each pool's engines, once an engine.
-	turns map[string][]message.RouterID
-	// ownedAt and ownedBy are what owners was worked out from.
-	ownedAt uint64
-	ownedBy []member.Member
-	foreign map[foreignKey]bool
-	counts  Counts
+	running  map[*request.Ticket]*activeRequest
+	// remoteSlots are the slots of other routers' engines that this router uses.
+	remoteSlots    map[slotKey]bool
+	waiting        int
+	sequence       uint64
+	leaving        bool
+	closed         bool
+	delayedReports []delayedReport
+	owners         map[string]message.RouterID
+	// remoteOwners lists the other routers that own engines of a pool, by pool. A
+	// router is listed once for each engine that it owns.
+	remoteOwners map[string][]message.RouterID
+	// ownersRevision and ownersLive are the configuration revision and the live
+	// routers from which owners was computed.
+	ownersRevision uint64
+	ownersLive     []member.Member
+	// reportedForeign are the engines and owners for which the method
+	// reportForeign last sent a count above zero.
+	reportedForeign map[foreignKey]bool
+	counts          Counts
 }
 
-// run is a request in progress through this router.
-type run struct {
+// activeRequest is a request that this router has sent to an engine.
+type activeRequest struct {
 	owner  member.Member
 	use    place.Use
 	remote bool
-	// chosen is set where a slot was granted for one organisation and this
-	// router chose another: then it is charged here and not by the owner.
-	chosen bool
+	// substituted is set if the slot was granted for one organisation and this
+	// router used it for another. The latter is charged here and not by the owner.
+	substituted bool
 }
 
-// heldKey names a slot for the whole fleet.
-type heldKey struct {
+// slotKey identifies a slot across the fleet.
+type slotKey struct {
 	owner       message.RouterID
 	incarnation uint64
 	slot        uint64
 }
 
-func (r *run) key() heldKey { return heldKey{r.owner.ID, r.owner.Incarnation, r.use.Slot} }
+func (r *activeRequest) key() slotKey { return slotKey{r.owner.ID, r.owner.Incarnation, r.use.Slot} }
 
-// delayed is a report held back; came is when it came.
-type delayed struct {
-	came   time.Time
-	from   message.RouterID
-	report message.Report
+// delayedReport is a report that is used only after Options.ViewDelay.
+type delayedReport struct {
+	receivedAt time.Time
+	from       message.RouterID
+	report     message.Report
 }
 
-// New returns the state of a router that knows no configuration yet.
+// New returns the state of a router that has no configuration yet.
 func New(o Options, outlet Outlet, r *rand.Rand, now time.Time) *State {
 	return &State{
-		options: o,
-		random:  r,
-		outlet:  outlet,
-		members: member.New(o.Self, o.Timeout, now),
-		view:    fleetview.New(r),
-		slots:   place.New(uint64(r.Uint32()) << 24),
-		pools:   map[string]*pool{},
-		running: map[*request.Ticket]*run{},
-		held:    map[heldKey]bool{},
-		owners:  map[string]message.RouterID{},
-		turns:   map[string][]message.RouterID{},
-		foreign: map[foreignKey]bool{},
+		options:         o,
+		random:          r,
+		outlet:          outlet,
+		members:         member.New(o.Self, o.Timeout, now),
+		view:            fleetview.New(r),
+		slots:           place.New(uint64(r.Uint32()) << 24),
+		pools:           map[string]*pool{},
+		running:         map[*request.Ticket]*activeRequest{},
+		remoteSlots:     map[slotKey]bool{},
+		owners:          map[string]message.RouterID{},
+		remoteOwners:    map[string][]message.RouterID{},
+		reportedForeign: map[foreignKey]bool{},
 	}
 }
 
-// Configure takes a newer configuration. Waiting requests stay where they
-// are, also when their pool's policy changes.
+// Configure applies a newer configuration. Waiting requests keep their places
+// in the queue, also when their pool's policy changes.
 func (s *State) Configure(snapshot config.Snapshot, now time.Time) {
 	invariant.Check(snapshot.Revision >= s.snapshot.Revision, invariant.NeverReverts)
 	s.snapshot = snapshot
@@ -125,7 +130,7 @@
 	for _, p := range snapshot.Pools() {
 		s.configurePool(p)
 	}
-	s.reown(now)
+	s.updateOwners(now)
 	s.dispatchAll(now)
 }
 
@@ -139,16 +144,16 @@
 		p = newPool(c.Name)
 		s.pools[c.Name] = p
 	}
-	if p.named == name {
+	if p.policyName == name {
 		return
 	}
-	// A snapshot holds no unknown policy: config checks them.
+	// Unknown policies cannot occur here: package config rejects them.
 	if policy, err := fair.New(name, s.random); err == nil {
-		p.policy, p.named = policy, name
+		p.policy, p.policyName = policy, name
 	}
 }
 
-// Arrive queues a request or refuses it at once.
+// Arrive queues a new request or refuses it at once.
 func (s *State) Arrive(t *request.Ticket, now time.Time) {
 	p := s.pools[t.Pool()]
 	if reason, after := s.admit(p, t, now); reason != "" {
@@ -157,20 +162,20 @@
 	}
 	s.enqueue(p, t)
 	s.dispatch(p, now)
-	if _, waits := p.handles[t]; waits {
-		s.ask(p, t.Organisation())
+	if _, queued := p.handles[t]; queued {
+		s.askForSlot(p, t.Organisation())
 	}
 }
 
 func (s *State) enqueue(p *pool, t *request.Ticket) {
-	_, waits := p.handles[t]
-	invariant.Check(!waits && s.running[t] == nil, invariant.DecidedOnce)
+	_, queued := p.handles[t]
+	invariant.Check(!queued && s.running[t] == nil, invariant.DecidedOnce)
 	p.handles[t] = p.queue.Push(t)
 	s.waiting++
 }
 
-// Retry queues a request again that is to run elsewhere; the engine that it
-// was sent to gets nothing until it answers again.
+// Retry queues a request again after its engine failed. That engine gets no
+// more requests until it reports its load again.
 func (s *State) Retry(t *request.Ticket, now time.Time) {
 	s.Finish(t, request.End{Failed: true}, now)
 	p := s.pools[t.Pool()]
@@ -182,8 +187,8 @@
 	s.dispatch(p, now)
 }
 
-// Cancel takes a request out of its queue; its goroutine is told the reason.
-// A request that has a slot already is not affected.
+// Cancel removes a request from its queue and refuses it with the given reason.
+// It does nothing if the request has a slot already.
 func (s *State) Cancel(t *request.Ticket, reason request.Reason) {
 	p := s.pools[t.Pool()]
 	if p == nil {
@@ -194,16 +199,16 @@
 		return
 	}
 	p.queue.Remove(h)
-	s.dequeued(p, t)
+	s.requestDequeued(p, t)
 	s.outlet.Decide(t, request.Decision{Refused: reason})
 }
 
-func (s *State) dequeued(p *pool, t *request.Ticket) {
+func (s *State) requestDequeued(p *pool, t *request.Ticket) {
 	delete(p.handles, t)
 	s.waiting--
 }
 
-// Finish frees the slot of a request that ended.
+// Finish frees the slot of a request that has ended.
 func (s *State) Finish(t *request.Ticket, end request.End, now time.Time) {
 	r := s.running[t]
 	if r == nil {
@@ -212,17 +217,17 @@
 	delete(s.running, t)
 	p := s.pools[t.Pool()]
 	p.running[t.Organisation()]--
-	p.learn(t.Organisation(), t.Hint(), end)
+	p.learnCost(t.Organisation(), t.Hint(), end)
 	if !r.remote {
 		s.release(r.use.Slot, t.Organisation(), end, now)
 		s.dispatch(p, now)
 		return
 	}
-	cost := p.settle(end, now.Sub(r.use.Since))
-	if r.chosen {
+	cost := p.finalCost(end, now.Sub(r.use.Since))
+	if r.substituted {
 		p.charge(t.Organisation(), cost-r.use.Charged)
 	}
-	delete(s.held, r.key())
+	delete(s.remoteSlots, r.key())
 	s.outlet.Send(r.owner, message.Done{
 		Slot:         r.use.Slot,
 		Organisation: t.Organisation(),
@@ -233,8 +238,8 @@
 	})
 }
 
-// release returns a slot that this router owns and corrects the charge for
-// it. It returns the slot's pool, nil if the slot was not in use.
+// release frees a slot of an engine that this router owns and corrects the
+// charge for it. It returns the slot's pool, or nil if the slot was not in use.
 func (s *State) release(slot uint64, organisation string, end request.End, now time.Time) *pool {
 	u, ok := s.slots.Release(slot)
 	if !ok {
@@ -245,49 +250,51 @@
 		s.slots.Broken(u.Engine)
 	}
 	p := s.pools[u.Pool]
-	cost := p.settle(end, now.Sub(u.Since))
+	cost := p.finalCost(end, now.Sub(u.Since))
 	if organisation == u.Organisation {
 		p.charge(organisation, cost-u.Charged)
 		return p
 	}
-	// The holder chose another organisation, and was charged for it.
+	// The holder used the slot for another organisation and has charged that one.
 	p.charge(u.Organisation, -u.Charged)
 	return p
 }
 
-// Loaded takes in an engine's own report of its load.
+// Loaded records the load that an engine reported.
 func (s *State) Loaded(engine string, load port.EngineLoad, now time.Time) {
 	s.slots.Answered(engine, load, now)
 	s.dispatchAll(now)
 }
 
-// Unreachable notes that an engine did not answer.
+// Unreachable records that an engine did not answer.
 func (s *State) Unreachable(engine string) { s.slots.Broken(engine) }
 
 // Owned returns the boxes of the engines that this router owns.
 func (s *State) Owned() []config.Box { return s.slots.Owned() }
 
-// Leave starts a planned stop: this router gives up its engines and is no
-// longer named to callers, but serves those that come by an older answer.
+// Leave starts a planned shutdown: this router hands its engines over to others
+// and its address is no longer given to callers, but it still serves callers
+// that were given it before.
 func (s *State) Leave(now time.Time) {
 	s.leaving = true
 	s.members.Leave()
 	s.Report(now)
-	s.reown(now)
-	s.handOver(now)
+	s.updateOwners(now)
+	s.reportForeign(now)
 }
 
-// Close makes the router refuse new requests: the answers by which callers
-// came here have expired.
+// Close makes the router refuse new requests. It is called once the address
+// answers that callers got before Leave have expired.
 func (s *State) Close() { s.closed = true }
 
 // Idle reports whether no request waits or runs.
 func (s *State) Idle() bool { return s.waiting == 0 && len(s.running) == 0 }
 
-// Members returns the routers that callers may use: alive and not leaving.
+// Members returns the routers whose addresses callers may be given: those alive
+// and not leaving, this router included.
 func (s *State) Members(now time.Time) []member.Member { return s.members.Live(now) }
 
-// Lookup returns another router by its id, if it is alive.
+// Lookup returns another router by its ID, if it is alive.
 func (s *State) Lookup(id message.RouterID, now time.Time) (member.Member, bool) {
 	if !s.members.Alive(id, now) {
 		return member.Member{}, false
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -35,14 +35,15 @@
 	slots  = 2
 )
 
-// parcel is a message on its way.
+// parcel is a message that was sent and not delivered yet.
 type parcel struct {
 	from member.Member
 	to   message.RouterID
 	m    message.Message
 }
 
-// fleet is a few control states joined by a network that the test controls.
+// fleet is several control states, connected by a simulated network whose
+// delivery the test controls.
 type fleet struct {
 	now      time.Time
 	states   map[message.RouterID]*control.State
@@ -55,7 +56,7 @@
 	snapshot config.Snapshot
 }
 
-// outlet is one router's outlet into the fleet.
+// outlet implements control.Outlet for one router of a fleet.
 type outlet struct {
 	fleet *fleet
 	self  message.RouterID
@@ -105,7 +106,7 @@
 	f.snapshot = f.snapshot.WithRevision(f.snapshot.Revision + 1)
 }
 
-// start starts a router, or starts it anew with no memory.
+// start starts a router, or restarts it with an empty state.
 func (f *fleet) start(id message.RouterID, seed uint64) {
 	f.number++
 	f.members[id] = member.Member{ID: id, Address: string(id), Peer: string(id), Incarnation: f.number}
@@ -129,7 +130,7 @@
 	}
 }
 
-// tick lets a report period pass.
+// tick advances the clock by a report period and calls Tick on all routers.
 func (f *fleet) tick() {
 	f.now = f.now.Add(period)
 	for i := range len(f.members) {
@@ -164,7 +165,7 @@
 	return t
 }
 
-// ready returns the requests that hold a slot, in order of arrival.
+// ready returns the requests that have a slot, in order of arrival.
 func (f *fleet) ready() []*request.Ticket {
 	var list []*request.Ticket
 	for n := range f.number + 1 {
@@ -203,7 +204,7 @@
 	delete(f.home, t)
 }
 
-// crash ends a router; its requests end with it.
+// crash removes a router and all its requests.
 func (f *fleet) crash(id message.RouterID) {
 	delete(f.states, id)
 	for t, home := range f.home {
@@ -215,7 +216,7 @@
 }
 
 var _ = Describe("State", func() {
-	It("runs every request once and leaves no slot idle while work waits, whatever the order of messages", func() {
+	It("runs every request once and leaves no slot idle while requests wait, whatever the order of messages", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			g := NewWithT(t)
 			policy := rapid.SampledFrom([]string{"fifo", "steal", "greedy", "share"}).Draw(t, "policy")
@@ -229,13 +230,13 @@
 			f.settle()
 			f.settle()
 			if f.waiting() > 0 {
-				g.Expect(len(f.ready())).To(BeNumerically(">=", f.engines*slots), "slots idle while %d wait", f.waiting())
+				g.Expect(len(f.ready())).To(BeNumerically(">=", f.engines*slots), "slots idle while %d requests wait", f.waiting())
 			}
 		})
 	})
 })
 
-// step does one thing that may happen to a fleet.
+// step draws one random event of the fleet and carries it out.
 func step(t *rapid.T, f *fleet) {
 	kind := rapid.SampledFrom([]string{"arrive", "arrive", "deliver", "deliver", "finish", "lose", "tick", "restart"}).Draw(t, "step")
 	switch {
@@ -262,7 +263,7 @@
 
 	BeforeEach(func() { f = newFleet(1, 1, "local", 1) })
 
-	// run lets an organisation's request run for a while and end.
+	// run runs a request of an organisation for the given time and ends it.
 	run := func(organisation string, took time.Duration, end request.End) {
 		t := f.arrive(0, organisation)
 		Expect(f.decided[t]).To(HaveLen(1))
@@ -272,10 +273,11 @@
 		delete(f.decided, t)
 	}
 
-	// fill makes an organisation wait behind full slots, and returns them.
+	// fill occupies both slots, so that later requests have to wait, and returns
+	// the requests that run in them.
 	fill := func() []*request.Ticket { return []*request.Ticket{f.arrive(0, "o3"), f.arrive(0, "o3")} }
 
-	It("charges a run that was cut short for the time that it took", func() {
+	It("charges a request that was cut short by the time that it ran", func() {
 		run("o2", time.Second, request.End{Cost: 100})
 		for range 5 {
 			run("o0", time.Second, request.End{Cost: 100})
@@ -290,7 +292,7 @@
 		Expect(f.decided[first]).To(BeEmpty())
 	})
 
-	It("refuses at its turn what can no longer end in time, and runs what can", func() {
+	It("refuses a queued request that can no longer end in time when its turn comes", func() {
 		for range 20 {
 			run("o0", 10*time.Second, request.End{Cost: 100})
 		}
@@ -326,7 +328,7 @@
 		return 1
 	}
 
-	It("find a slot again whose grant was lost", func() {
+	It("recover a slot whose grant message was lost", func() {
 		f := newFleet(2, 1, "share", 1)
 		tickets := []*request.Ticket{f.arrive(other(f), "o0"), f.arrive(other(f), "o1")}
 		for len(f.flight) > 0 {
@@ -344,7 +346,7 @@
 		}
 	})
 
-	It("do not wait for a report where a question was in vain", func() {
+	It("do not wait for the next report after asking a router that had no free slot", func() {
 		f := newFleet(2, 1, "share", 1)
 		owner := 1 - other(f)
 		f.arrive(owner, "o0")
--- a/internal/control/counts.go
+++ b/internal/control/counts.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// Counts are running totals of what the control state has done.
+// Counts are totals since the router's start.
 type Counts struct {
-	// Local is the number of requests dispatched without a message.
+	// Local is the number of requests dispatched to engines that this router owns.
 	Local int64 `json:"local"`
-	// Granted is the number of slots offered to other routers.
+	// Granted is the number of slots granted to other routers.
 	Granted int64 `json:"granted"`
-	// GrantsDeclined is the number of those that came back unused.
+	// GrantsDeclined is the number of slots that other routers declined.
 	GrantsDeclined int64 `json:"grants_declined"`
-	// Declined is the number of other routers' slots not used here.
+	// Declined is the number of slots granted by other routers and declined here.
 	Declined int64 `json:"declined"`
-	// Substituted is the number of times that another organisation's request
-	// was run on a granted slot, since the one it was for had none left.
+	// Substituted is the number of slots granted by other routers for one
+	// organisation and used for another, as no request of the first could run.
 	Substituted int64 `json:"substituted"`
-	// TooLate is the number of requests refused since they could not be
-	// expected to end before their deadline.
+	// TooLate is the number of requests refused because they were not expected
+	// to end before their deadline.
 	TooLate int64 `json:"too_late"`
-	// Asked is the number of times work was announced to another router.
+	// Asked is the number of messages that asked another router for a slot.
 	Asked int64 `json:"asked"`
-	// Announced is the number of times another router was told of free slots
-	// between reports.
+	// Announced is the number of messages sent between reports that announced
+	// free slots to another router.
 	Announced int64 `json:"announced"`
-	// LostSlots is the number of slots that owners asked about and that were
-	// not held here.
+	// LostSlots is the number of slots that an owner's audit asked about and
+	// that this router did not hold.
 	LostSlots int64 `json:"lost_slots"`
-	// StaleSlots is the number of answers for slots no longer in use.
+	// StaleSlots is the number of releases of slots that were no longer in use.
 	StaleSlots int64 `json:"stale_slots"`
-	// StaleMessages is the number of messages from earlier incarnations.
+	// StaleMessages is the number of messages ignored, mostly from earlier
+	// incarnations of their senders.
 	StaleMessages int64 `json:"stale_messages"`
 }
 
-// Status is a picture of the state for metrics and operators.
+// Status is a snapshot of the state for metrics and operators.
 type Status struct {
 	Counts
 	Waiting  int           `json:"waiting"`
@@ -45,7 +46,7 @@
 	Leaving  bool          `json:"leaving"`
 }
 
-// Status returns a picture of the state.
+// Status returns a snapshot of the state.
 func (s *State) Status(now time.Time) Status {
 	return Status{
 		Counts:   s.counts,
--- a/internal/control/dispatch.go
+++ b/internal/control/dispatch.go
@@ -17,8 +17,9 @@
 	}
 }
 
-// dispatch gives the pool's free slots to waiting work, here or at other
-// routers, until one of them runs out.
+// dispatch assigns the free slots of the pool's engines that this router owns
+// to waiting requests, here or at other routers, until there are no more slots
+// or no more requests.
 func (s *State) dispatch(p *pool, now time.Time) {
 	for {
 		free := s.slots.Free(p.name, now)
@@ -27,8 +28,8 @@
 		}
 		candidates := s.candidates(p)
 		if len(candidates) == 0 {
-			invariant.Check(p.queue.Size() == 0 || s.limited(p), invariant.WorkConserving)
-			s.announce(p, free, now)
+			invariant.Check(p.queue.Size() == 0 || s.anyRunningLimit(p), invariant.WorkConserving)
+			s.announceFree(p, free, now)
 			return
 		}
 		c := candidates[p.policy.Pick(candidates)]
@@ -36,23 +37,24 @@
 			s.startLocal(p, c.Organisation, now)
 			continue
 		}
-		s.grant(p, c.Organisation, now)
+		s.grantSlot(p, c.Organisation, now)
 	}
 }
 
-// idleFanOut is the most routers that are told of free slots between reports.
-const idleFanOut = 8
+// maxIdleRecipients bounds the number of routers to which free slots are
+// announced between two reports.
+const maxIdleRecipients = 8
 
-// announce tells other routers of free slots if they believe that there are
-// none. Told they are with each report; this covers the time between.
-func (s *State) announce(p *pool, free int, now time.Time) {
-	if p.told > 0 || p.policy.Reach() == fair.ReachLocal {
+// announceFree sends the number of free slots to some other routers if the number
+// last sent was zero. Reports carry it too; this covers the time between them.
+func (s *State) announceFree(p *pool, free int, now time.Time) {
+	if p.announcedFree > 0 || p.policy.Reach() == fair.ReachLocal {
 		return
 	}
-	p.told = free
+	p.announcedFree = free
 	others := s.members.Others(now)
 	for i, n := range s.random.Perm(len(others)) {
-		if i == idleFanOut {
+		if i == maxIdleRecipients {
 			return
 		}
 		s.counts.Announced++
@@ -60,9 +62,10 @@
 	}
 }
 
-// asked notes that another router has work waiting, and serves it if it can.
-// A router that asked in vain is told at once, so that it asks another.
-func (s *State) asked(from member.Member, m message.Ask, now time.Time) {
+// handleAsk records that another router has requests waiting, and grants it
+// slots if possible. If that router expected a free slot and there is none, it
+// gets an answer at once, so that it can ask another router.
+func (s *State) handleAsk(from member.Member, m message.Ask, now time.Time) {
 	p := s.pools[m.Pool]
 	if p == nil {
 		return
@@ -75,9 +78,9 @@
 	}
 }
 
-// idle takes in how many free slots another router has. Work that waits here
-// is announced to it, or, if it has none, to the next one that may have some.
-func (s *State) idle(from member.Member, m message.Idle) {
+// handleIdle records how many free slots another router has. If any router has
+// free slots, it asks for a slot for each organisation with requests waiting here.
+func (s *State) handleIdle(from member.Member, m message.Idle) {
 	p := s.pools[m.Pool]
 	if p == nil {
 		return
@@ -87,12 +90,12 @@
 		return
 	}
 	for _, c := range s.localCandidates(p) {
-		s.ask(p, c.Organisation)
+		s.askForSlot(p, c.Organisation)
 	}
 }
 
-// candidates returns the organisations that the pool's policy may choose
-// among.
+// candidates returns the organisations among which the pool's policy chooses
+// the next one for a slot of an engine that this router owns.
 func (s *State) candidates(p *pool) []fair.Candidate {
 	list := s.localCandidates(p)
 	reach := p.policy.Reach()
@@ -121,7 +124,8 @@
 		rest = append(rest, c)
 	})
 	if len(list) == 0 {
-		// Rather a slot that others may have granted as well than an idle one.
+		// This router's quotas are used up. Grant beyond them: the other owners
+		// may then grant a slot to the same request, but no slot stays idle.
 		return rest
 	}
 	return list
@@ -132,10 +136,10 @@
 	p.queue.Each(func(name string, waiting int) {
 		o, ok := s.snapshot.Organisation(name)
 		if !ok {
-			// The organisation was deleted; what it has waiting still runs.
+			// The organisation was deleted, but its waiting requests still run.
 			o.Weight = 1
 		}
-		if s.full(p, name) {
+		if s.atRunningLimit(p, name) {
 			return
 		}
 		first, _ := p.queue.Peek(name)
@@ -149,9 +153,9 @@
 	return list
 }
 
-// limited reports whether some organisation with work waiting is at its limit
-// of requests in progress.
-func (s *State) limited(p *pool) bool {
+// anyRunningLimit reports whether any organisation with requests waiting has a
+// limit on requests in progress.
+func (s *State) anyRunningLimit(p *pool) bool {
 	limited := false
 	p.queue.Each(func(name string, _ int) {
 		o, _ := s.snapshot.Organisation(name)
@@ -160,16 +164,16 @@
 	return limited
 }
 
-// take takes an organisation's first waiting request that can still end in
-// time; those that cannot are refused at once.
-func (s *State) take(p *pool, organisation string, now time.Time) (*request.Ticket, bool) {
+// popRunnable removes and returns an organisation's first waiting request that is
+// expected to end before its deadline; requests before it are refused.
+func (s *State) popRunnable(p *pool, organisation string, now time.Time) (*request.Ticket, bool) {
 	for {
 		t, ok := p.queue.Pop(organisation)
 		if !ok {
 			return nil, false
 		}
-		s.dequeued(p, t)
-		if p.inTime(t, now) {
+		s.requestDequeued(p, t)
+		if p.canMeetDeadline(t, now) {
 			return t, true
 		}
 		s.counts.TooLate++
@@ -177,9 +181,10 @@
 	}
 }
 
-// startLocal runs an organisation's first waiting request on a slot of ours.
+// startLocal runs an organisation's first waiting request on an engine that this
+// router owns.
 func (s *State) startLocal(p *pool, organisation string, now time.Time) {
-	t, ok := s.take(p, organisation, now)
+	t, ok := s.popRunnable(p, organisation, now)
 	if !ok {
 		return
 	}
@@ -195,24 +200,24 @@
 	}
 	p.charge(organisation, u.Charged)
 	s.counts.Local++
-	s.start(p, t, &run{owner: s.members.Self(), use: u})
+	s.start(p, t, &activeRequest{owner: s.members.Self(), use: u})
 }
 
-func (s *State) start(p *pool, t *request.Ticket, r *run) {
-	_, waits := p.handles[t]
-	invariant.Check(!waits && s.running[t] == nil, invariant.DecidedOnce)
+func (s *State) start(p *pool, t *request.Ticket, r *activeRequest) {
+	_, queued := p.handles[t]
+	invariant.Check(!queued && s.running[t] == nil, invariant.DecidedOnce)
 	s.running[t] = r
 	if r.remote {
-		s.held[r.key()] = true
+		s.remoteSlots[r.key()] = true
 	}
 	p.running[t.Organisation()]++
 	s.outlet.Decide(t, request.Decision{Engine: r.use.Engine, Address: r.use.Address})
 }
 
-// grant offers a slot of ours to a router that holds an organisation's work.
-// Each call counts one waiting request as taken, also where the holder turns
-// out to be unknown, so that dispatch comes to an end.
-func (s *State) grant(p *pool, organisation string, now time.Time) {
+// grantSlot grants a slot of an engine that this router owns to a router at which
+// requests of an organisation wait. Each call counts one of them as taken, also
+// if that router turns out to be unknown, so that the loop in dispatch ends.
+func (s *State) grantSlot(p *pool, organisation string, now time.Time) {
 	holder, ok := s.view.Holder(p.name, organisation)
 	if !ok {
 		return
@@ -239,25 +244,26 @@
 	})
 }
 
-// granted uses a slot that its owner has offered: for the organisation that
-// the owner chose, else for another that waits here, else not at all.
-func (s *State) granted(from member.Member, g message.Grant, now time.Time) {
+// handleGrant uses a slot granted by the engine's owner for the organisation that
+// the owner chose, or else for another one with requests waiting here. If there
+// is none, it declines the grant.
+func (s *State) handleGrant(from member.Member, g message.Grant, now time.Time) {
 	box, _ := s.snapshot.Box(g.Engine)
 	p := s.pools[box.Pool]
 	if p == nil || p.policy.Reach() == fair.ReachLocal {
 		s.outlet.Send(from, message.Decline{Slot: g.Slot})
 		return
 	}
-	t, charged, ok := s.takeFor(p, g.Organisation, now)
+	t, charged, ok := s.popForGrant(p, g.Organisation, now)
 	if !ok {
 		s.counts.Declined++
 		s.outlet.Send(from, message.Decline{Slot: g.Slot})
 		return
 	}
-	s.start(p, t, &run{
-		owner:  from,
-		remote: true,
-		chosen: t.Organisation() != g.Organisation,
+	s.start(p, t, &activeRequest{
+		owner:       from,
+		remote:      true,
+		substituted: t.Organisation() != g.Organisation,
 		use: place.Use{
 			Slot:         g.Slot,
 			Engine:       g.Engine,
@@ -271,11 +277,12 @@
 	})
 }
 
-// takeFor takes the organisation's first waiting request, or else that of the
-// organisation which this router's own policy picks; who picks is charged.
-func (s *State) takeFor(p *pool, organisation string, now time.Time) (t *request.Ticket, charged float64, ok bool) {
-	if !s.full(p, organisation) {
-		if t, ok = s.take(p, organisation, now); ok {
+// popForGrant takes the first waiting request of the organisation for which a slot
+// was granted, or else of one that this router's policy picks. Only the latter is
+// charged here, by the amount charged: the owner charges the former.
+func (s *State) popForGrant(p *pool, organisation string, now time.Time) (t *request.Ticket, charged float64, ok bool) {
+	if !s.atRunningLimit(p, organisation) {
+		if t, ok = s.popRunnable(p, organisation, now); ok {
 			return t, 0, true
 		}
 	}
@@ -285,7 +292,7 @@
 			return nil, 0, false
 		}
 		picked := candidates[p.policy.Pick(candidates)].Organisation
-		if t, ok = s.take(p, picked, now); ok {
+		if t, ok = s.popRunnable(p, picked, now); ok {
 			s.counts.Substituted++
 			charged = p.estimate.Estimate(picked, t.Hint())
 			p.charge(picked, charged)
@@ -294,46 +301,46 @@
 	}
 }
 
-// full reports whether an organisation is at its limit of requests in
+// atRunningLimit reports whether an organisation is at its limit of requests in
 // progress.
-func (s *State) full(p *pool, organisation string) bool {
+func (s *State) atRunningLimit(p *pool, organisation string) bool {
 	o, _ := s.snapshot.Organisation(organisation)
 	return o.Limits.Running > 0 && p.running[organisation] >= o.Limits.Running
 }
 
-// nextOwner returns the owners of the pool's engines in turn, for each
-// organisation in a turn of its own. Each owner serves an organisation at
-// intervals, as its share comes round; asking in turn, and not at random,
-// comes at intervals as well.
+// nextOwner returns the owners of the pool's engines round robin, separately for
+// each organisation. An owner serves an organisation at intervals that follow
+// from its share. Round robin, unlike a random choice, also asks each owner at
+// regular intervals.
 func (s *State) nextOwner(p *pool, organisation string) (message.RouterID, bool) {
-	owners := s.turns[p.name]
+	owners := s.remoteOwners[p.name]
 	if len(owners) == 0 {
 		return "", false
 	}
-	turn, ok := p.turns[organisation]
+	turn, ok := p.nextTurn[organisation]
 	if !ok {
 		turn = s.random.IntN(len(owners))
 	}
-	p.turns[organisation] = turn + 1
+	p.nextTurn[organisation] = turn + 1
 	return owners[turn%len(owners)], true
 }
 
-// askBelow is the number of waiting requests of an organisation up to which
-// each new one is announced to an owner at once. For a longer queue what the
-// reports say of it does, unless the organisation is behind.
-const askBelow = 4
+// maxQueueToAsk is the queue length of an organisation up to which an owner is
+// asked for a slot at once for each new request. Longer queues are announced by
+// the reports alone, unless the organisation is urgent.
+const maxQueueToAsk = 4
 
-// ask tells a router that work waits here: one believed to have a free slot,
-// or for a short queue or an urgent organisation any owner, which will have
-// one soon.
-func (s *State) ask(p *pool, organisation string) {
+// askForSlot asks another router for a slot: one that has a free slot as far as is
+// known or, for a short queue or an urgent organisation, the next owner in turn,
+// which may have one soon.
+func (s *State) askForSlot(p *pool, organisation string) {
 	if p.policy.Reach() == fair.ReachLocal {
 		return
 	}
 	id, free := s.view.FreeOwner(p.name)
 	ok := free
 	if !ok && p.policy.Reach() == fair.ReachFleet &&
-		(p.queue.Len(organisation) <= askBelow || p.policy.Urgent(organisation)) {
+		(p.queue.Len(organisation) <= maxQueueToAsk || p.policy.Urgent(organisation)) {
 		id, ok = s.nextOwner(p, organisation)
 	}
 	if !ok {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -12,14 +12,14 @@
 	"github.com/stepcroft/stepcroft/internal/request"
 )
 
-// foreignKey is an engine on which this router runs requests by grants of a
-// router that no longer owns it, and the owner that was told so.
+// foreignKey is an engine on which this router runs requests in slots granted
+// by a previous owner, and the current owner to which their number was sent.
 type foreignKey struct {
 	engine string
 	owner  message.RouterID
 }
 
-// Receive takes in a message from another router.
+// Receive handles a message from another router.
 func (s *State) Receive(from member.Member, m message.Message, now time.Time) {
 	if !s.members.Heard(from, now) {
 		s.counts.StaleMessages++
@@ -27,19 +27,19 @@
 	}
 	switch m := m.(type) {
 	case message.Report:
-		s.reported(from, m, now)
+		s.handleReport(from, m, now)
 	case message.Grant:
-		s.granted(from, m, now)
+		s.handleGrant(from, m, now)
 	case message.Decline:
-		s.declined(from, m, now)
+		s.handleDecline(from, m, now)
 	case message.Done:
-		s.done(from, m, now)
+		s.handleDone(from, m, now)
 	case message.Ask:
-		s.asked(from, m, now)
+		s.handleAsk(from, m, now)
 	case message.Audit:
-		s.audited(from, m)
+		s.handleAudit(from, m)
 	case message.Idle:
-		s.idle(from, m)
+		s.handleIdle(from, m)
 	case message.Held:
 		s.slots.Foreign(m.Engine, from.ID, m.Foreign, now, s.options.Timeout)
 	}
@@ -51,8 +51,8 @@
 	}
 }
 
-// audit asks the holders of slots that have long been in use whether they
-// still hold them.
+// audit asks the holders of slots that have been in use for long whether they
+// still hold them, as the message that ends the use may have been lost.
 func (s *State) audit(now time.Time) {
 	slots := map[message.RouterID][]uint64{}
 	for _, u := range s.slots.Overdue(s.members.Self().ID, now) {
@@ -65,17 +65,18 @@
 	}
 }
 
-// audited returns the slots of an audit that this router does not hold.
-func (s *State) audited(from member.Member, m message.Audit) {
+// handleAudit declines those slots of an audit that this router does not hold, so
+// that the owner frees them.
+func (s *State) handleAudit(from member.Member, m message.Audit) {
 	for _, slot := range m.Slots {
-		if !s.held[heldKey{from.ID, from.Incarnation, slot}] {
+		if !s.remoteSlots[slotKey{from.ID, from.Incarnation, slot}] {
 			s.counts.LostSlots++
 			s.outlet.Send(from, message.Decline{Slot: slot, Unknown: true})
 		}
 	}
 }
 
-func (s *State) declined(from member.Member, m message.Decline, now time.Time) {
+func (s *State) handleDecline(from member.Member, m message.Decline, now time.Time) {
 	s.counts.GrantsDeclined++
 	u, ok := s.slots.Release(m.Slot)
 	if !ok {
@@ -90,20 +91,20 @@
 	s.dispatch(p, now)
 }
 
-func (s *State) done(from member.Member, m message.Done, now time.Time) {
+func (s *State) handleDone(from member.Member, m message.Done, now time.Time) {
 	end := request.End{Cost: m.Cost, Partial: m.Partial, Failed: m.Failed}
 	p := s.release(m.Slot, m.Organisation, end, now)
 	if p == nil {
 		return
 	}
-	p.learn(m.Organisation, 0, end)
+	p.learnCost(m.Organisation, 0, end)
 	s.view.Waiting(from.ID, p.name, m.Organisation, m.Waiting)
 	s.dispatch(p, now)
 }
 
-func (s *State) reported(from member.Member, r message.Report, now time.Time) {
+func (s *State) handleReport(from member.Member, r message.Report, now time.Time) {
 	if s.options.ViewDelay > 0 {
-		s.delayed = append(s.delayed, delayed{now, from.ID, r})
+		s.delayedReports = append(s.delayedReports, delayedReport{now, from.ID, r})
 		return
 	}
 	if s.view.Report(from.ID, r, now) {
@@ -111,51 +112,51 @@
 	}
 }
 
-// Tick does what is due: delayed reports, changes in who is alive, and this
-// router's own report. It is called once each report period.
+// Tick does the periodic work, among it sending this router's report. It is
+// called once each report period.
 func (s *State) Tick(now time.Time) {
 	s.applyDelayed(now)
-	s.reown(now)
-	s.handOver(now)
+	s.updateOwners(now)
+	s.reportForeign(now)
 	s.audit(now)
 	for _, name := range slices.Sorted(maps.Keys(s.pools)) {
 		p := s.pools[name]
-		s.slots.Charge(name, p.pace.rate(), now, p.charge)
-		s.observe(p, now)
+		s.slots.Charge(name, p.throughput.perSecond(), now, p.charge)
+		s.updatePolicy(p, now)
 	}
 	s.Report(now)
 	s.dispatchAll(now)
 }
 
 func (s *State) applyDelayed(now time.Time) {
-	for len(s.delayed) > 0 && now.Sub(s.delayed[0].came) >= s.options.ViewDelay {
-		d := s.delayed[0]
-		s.delayed = s.delayed[1:]
-		s.view.Report(d.from, d.report, d.came)
+	for len(s.delayedReports) > 0 && now.Sub(s.delayedReports[0].receivedAt) >= s.options.ViewDelay {
+		d := s.delayedReports[0]
+		s.delayedReports = s.delayedReports[1:]
+		s.view.Report(d.from, d.report, d.receivedAt)
 	}
 }
 
-// reown works out which engines this router owns now, if the configuration or
-// the live routers have changed, and frees what dead routers held.
-func (s *State) reown(now time.Time) {
+// updateOwners reassigns the engines if the configuration or the live routers
+// have changed, and frees the slots held by dead routers.
+func (s *State) updateOwners(now time.Time) {
 	live := s.members.Live(now)
-	if s.ownedAt != s.snapshot.Revision || !slices.Equal(live, s.ownedBy) {
-		s.assign(live, now)
-		s.ownedAt, s.ownedBy = s.snapshot.Revision, live
+	if s.ownersRevision != s.snapshot.Revision || !slices.Equal(live, s.ownersLive) {
+		s.assignEngines(live, now)
+		s.ownersRevision, s.ownersLive = s.snapshot.Revision, live
 	}
 	for _, m := range s.members.Others(now) {
 		if !s.members.Alive(m.ID, now) {
-			s.dead(m.ID)
+			s.removeRouter(m.ID)
 		}
 	}
 }
 
-// assign gives each engine to its owner among the live routers.
-func (s *State) assign(live []member.Member, now time.Time) {
+// assignEngines determines the owner of each engine among the live routers.
+func (s *State) assignEngines(live []member.Member, now time.Time) {
 	self := s.members.Self().ID
 	clear(s.owners)
-	clear(s.turns)
-	var mine []config.Box
+	clear(s.remoteOwners)
+	var owned []config.Box
 	for _, box := range s.snapshot.Boxes(config.RoleEngine) {
 		owner, ok := member.Owner(box.Name, box.Zone, live)
 		if !ok {
@@ -163,18 +164,20 @@
 		}
 		s.owners[box.Name] = owner.ID
 		if owner.ID == self {
-			mine = append(mine, box)
+			owned = append(owned, box)
 			continue
 		}
-		s.turns[box.Pool] = append(s.turns[box.Pool], owner.ID)
+		s.remoteOwners[box.Pool] = append(s.remoteOwners[box.Pool], owner.ID)
 	}
-	s.slots.Own(mine, now)
-	s.lay()
+	s.slots.Own(owned, now)
+	s.setSlotRanges()
 }
 
-// lay tells the view which part of each pool's slots is this router's.
-func (s *State) lay() {
-	type count struct{ before, mine, all int }
+// setSlotRanges passes this router's part of each pool's slots to the view: a
+// range between 0 and 1, in which the owners' parts follow each other by router
+// ID.
+func (s *State) setSlotRanges() {
+	type count struct{ before, owned, all int }
 	self := s.members.Self().ID
 	counts := map[string]count{}
 	for _, box := range s.snapshot.Boxes(config.RoleEngine) {
@@ -182,7 +185,7 @@
 		c.all += box.Slots
 		switch owner := s.owners[box.Name]; {
 		case owner == self:
-			c.mine += box.Slots
+			c.owned += box.Slots
 		case owner < self:
 			c.before += box.Slots
 		}
@@ -190,40 +193,40 @@
 	}
 	for pool, c := range counts {
 		all := float64(c.all)
-		s.view.Own(pool, float64(c.before)/all, float64(c.before+c.mine)/all)
+		s.view.Own(pool, float64(c.before)/all, float64(c.before+c.owned)/all)
 	}
 }
 
-func (s *State) dead(id message.RouterID) {
+func (s *State) removeRouter(id message.RouterID) {
 	s.view.Forget(id)
 	s.slots.ReleaseHolder(id)
 }
 
-// handOver tells the owners of engines how many requests this router runs on
-// them by grants of earlier owners.
-func (s *State) handOver(now time.Time) {
+// reportForeign sends the owners of engines the number of requests that this
+// router still runs on them in slots granted by previous owners or incarnations.
+func (s *State) reportForeign(now time.Time) {
 	counts := map[foreignKey]int{}
-	for key := range s.foreign {
+	for key := range s.reportedForeign {
 		counts[key] = 0
 	}
 	for _, r := range s.running {
 		owner := s.owners[r.use.Engine]
-		if !s.current(owner, r.owner) {
+		if !s.isCurrentOwner(owner, r.owner) {
 			counts[foreignKey{r.use.Engine, owner}]++
 		}
 	}
-	clear(s.foreign)
+	clear(s.reportedForeign)
 	for key, n := range counts {
-		s.tellHeld(key, n, now)
+		s.sendForeign(key, n, now)
 		if n > 0 {
-			s.foreign[key] = true
+			s.reportedForeign[key] = true
 		}
 	}
 }
 
-// current reports whether the owner of an engine is still the router, and the
-// incarnation, that gave out a slot on it.
-func (s *State) current(owner message.RouterID, granter member.Member) bool {
+// isCurrentOwner reports whether an engine's owner is still the router, in the
+// same incarnation, that granted a slot on it.
+func (s *State) isCurrentOwner(owner message.RouterID, granter member.Member) bool {
 	if owner != granter.ID {
 		return false
 	}
@@ -231,7 +234,7 @@
 	return !ok || now.Incarnation == granter.Incarnation
 }
 
-func (s *State) tellHeld(key foreignKey, n int, now time.Time) {
+func (s *State) sendForeign(key foreignKey, n int, now time.Time) {
 	if key.owner == s.members.Self().ID {
 		s.slots.Foreign(key.engine, key.owner, n, now, s.options.Timeout)
 		return
@@ -241,17 +244,18 @@
 	}
 }
 
-// observe shows the pool's policy what the fleet has served since last time.
-func (s *State) observe(p *pool, now time.Time) {
-	own := p.service()
+// updatePolicy passes the fleet's service since the last call to the policy of a
+// pool.
+func (s *State) updatePolicy(p *pool, now time.Time) {
+	totals := p.serviceTotals()
 	standings := map[string]fair.Standing{}
-	for name, total := range own {
+	for name, total := range totals {
 		standings[name] = fair.Standing{
-			Served:     float64(total - p.viewed[name]),
+			Served:     float64(total - p.observedService[name]),
 			Backlogged: s.backlogged(p, name, now),
 		}
 	}
-	p.viewed = own
+	p.observedService = totals
 	s.view.Drain(p.name, func(name string, served float64, backlogged bool) {
 		st := standings[name]
 		st.Served += served
@@ -271,14 +275,14 @@
 	p.policy.Observe(fair.View{Standings: list, Age: float64(s.view.Age(now)) / float64(s.options.Period)})
 }
 
-// backlogged reports whether an organisation's first request here has waited
-// for a report period.
+// backlogged reports whether the first request in an organisation's queue at
+// this router has waited for at least a report period.
 func (s *State) backlogged(p *pool, organisation string, now time.Time) bool {
 	first, ok := p.queue.Peek(organisation)
 	return ok && now.Sub(first.Arrived()) >= s.options.Period
 }
 
-// Report sends this router's report to all others.
+// Report sends this router's report to all other routers.
 func (s *State) Report(now time.Time) {
 	s.sequence++
 	r := message.Report{
@@ -297,15 +301,15 @@
 
 func (s *State) reportPool(p *pool, now time.Time) message.PoolReport {
 	r := message.PoolReport{Pool: p.name, Free: s.slots.Free(p.name, now)}
-	p.told = r.Free
-	for _, name := range slices.Sorted(maps.Keys(p.viewed)) {
-		if p.viewed[name] == p.reported[name] && p.queue.Len(name) == 0 {
+	p.announcedFree = r.Free
+	for _, name := range slices.Sorted(maps.Keys(p.observedService)) {
+		if p.observedService[name] == p.reportedService[name] && p.queue.Len(name) == 0 {
 			continue
 		}
-		p.reported[name] = p.viewed[name]
+		p.reportedService[name] = p.observedService[name]
 		r.Organisations = append(r.Organisations, message.OrganisationReport{
 			Organisation: name,
-			Service:      p.viewed[name],
+			Service:      p.observedService[name],
 			Waiting:      p.queue.Len(name),
 			Backlogged:   s.backlogged(p, name, now),
 		})
