--- a/internal/forward/advice.go
+++ b/internal/forward/advice.go
@@ -26,21 +26,22 @@
 	AdviceRestBounded Advice = "rest-bounded"
 )
 
-// advised handles what a target reports about itself in the head of an answer, even if the
+// readAdvice handles what a target reports about itself in the head of an answer, even if the
 // body fails later. Status 421 is ignored: another process than the chosen target sent it.
-func (x *run) advised(to balance.Target, a *httptarget.Answer) {
+func (x *inflight) readAdvice(to balance.Target, a *httptarget.Answer) {
 	if a.Status == http.StatusMisdirectedRequest {
 		return
 	}
 	if leaves, err := strconv.ParseBool(a.Header.Get(x.dialect.Leaving)); err == nil && leaves {
-		x.leaves(to)
+		x.reportLeaving(to)
 	}
 	if a.Status == http.StatusServiceUnavailable {
-		x.rests(to, restOf(a.Header))
+		x.reportBackoff(to, parseRetryAfter(a.Header))
 	}
 }
 
-func (x *run) leaves(to balance.Target) {
+// reportLeaving tells the control thread that a target is leaving.
+func (x *inflight) reportLeaving(to balance.Target) {
 	t := x.ticket
 	x.loop.Post(func(s *balance.State, now time.Time) {
 		if s.Leaves(now, t) {
@@ -50,7 +51,8 @@
 	})
 }
 
-func (x *run) rests(to balance.Target, d time.Duration) {
+// reportBackoff tells the control thread that a target asked for a backoff of d.
+func (x *inflight) reportBackoff(to balance.Target, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -67,10 +69,10 @@
 	})
 }
 
-// restOf returns the delay given in Retry-After (RFC 9110, section 10.2.3), or 0 if the
-// header is missing or invalid. The value is a number of seconds, which unlike in the RFC
+// parseRetryAfter returns the delay given in Retry-After (RFC 9110, section 10.2.3), or 0 if
+// the header is missing or invalid. The value is a number of seconds, which unlike in the RFC
 // may have a fraction, or a date, which is compared with the answer's own Date header.
-func restOf(h http.Header) time.Duration {
+func parseRetryAfter(h http.Header) time.Duration {
 	value := h.Get("Retry-After")
 	if seconds, err := strconv.ParseFloat(value, 64); err == nil {
 		if math.IsNaN(seconds) || seconds <= 0 {
@@ -78,13 +80,13 @@
 		}
 		return time.Duration(min(seconds, math.MaxInt32) * float64(time.Second))
 	}
-	until, err := http.ParseTime(value)
+	retryAt, err := http.ParseTime(value)
 	if err != nil {
 		return 0
 	}
-	said, err := http.ParseTime(h.Get("Date"))
+	sentAt, err := http.ParseTime(h.Get("Date"))
 	if err != nil {
-		said = clock.Now()
+		sentAt = clock.Now()
 	}
-	return max(until.Sub(said), 0)
+	return max(retryAt.Sub(sentAt), 0)
 }
--- a/internal/forward/advice_internal_test.go
+++ b/internal/forward/advice_internal_test.go
@@ -23,7 +23,7 @@
 	for value, want := range cases {
 		t.Run(value, func(t *testing.T) {
 			h := http.Header{"Date": {date}, "Retry-After": {value}}
-			if got := restOf(h); got != want {
+			if got := parseRetryAfter(h); got != want {
 				t.Errorf("rest %v, want %v", got, want)
 			}
 		})
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -9,65 +9,65 @@
 )
 
 const (
-	// eventBuffer is the initial size of a stream's buffer and maxEvent the size up to
-	// which it grows to hold one event, both in bytes.
-	eventBuffer = 1 << 10
-	maxEvent    = 256 << 10
+	// initialEventBufferSize is the initial size of a stream's buffer, and maxEventSize the
+	// size up to which it grows to hold one event, both in bytes.
+	initialEventBufferSize = 1 << 10
+	maxEventSize           = 256 << 10
 )
 
-// errOrder means that the ids of a stream's events do not increase.
-var errOrder = errors.New("event ids out of order")
+// errEventOrder means that the ids of a stream's events do not increase.
+var errEventOrder = errors.New("event ids out of order")
 
-// events reads a stream of server-sent events in batches of whole events.
-type events struct {
-	from   io.Reader
+// eventReader reads a stream of server-sent events in batches of whole events.
+type eventReader struct {
+	source io.Reader
 	buffer []byte
-	// held is the number of bytes in buffer that have been read but not yet returned.
-	held int
-	// last is the id of the last event returned, and count the number of events in the
-	// last batch.
-	last  string
-	count int
+	// buffered is the number of bytes in buffer that have been read but not yet returned.
+	buffered int
+	// lastID is the id of the last event returned, and batchCount the number of events in
+	// the last batch.
+	lastID     string
+	batchCount int
 }
 
-func newEvents(from io.Reader) *events {
-	return &events{from: from, buffer: make([]byte, eventBuffer)}
+func newEventReader(from io.Reader) *eventReader {
+	return &eventReader{source: from, buffer: make([]byte, initialEventBufferSize)}
 }
 
 // next returns the next batch of whole events. after is the id of the event before them, or
 // "". It may return events together with an error; io.EOF means that the stream ended after
 // a whole event.
-func (e *events) next(after string) ([]byte, error) {
-	e.last, e.count = after, 0
+func (e *eventReader) next(after string) ([]byte, error) {
+	e.lastID, e.batchCount = after, 0
 	for {
-		if e.held == len(e.buffer) {
-			if len(e.buffer) >= maxEvent {
+		if e.buffered == len(e.buffer) {
+			if len(e.buffer) >= maxEventSize {
 				return nil, errors.New("event exceeds the maximum size")
 			}
 			e.buffer = append(e.buffer, make([]byte, len(e.buffer))...)
 		}
-		n, err := e.from.Read(e.buffer[e.held:])
-		e.held += n
+		n, err := e.source.Read(e.buffer[e.buffered:])
+		e.buffered += n
 		end, orderErr := e.scan()
 		if orderErr != nil {
 			return nil, orderErr
 		}
 		if end > 0 {
 			batch := bytes.Clone(e.buffer[:end])
-			copy(e.buffer, e.buffer[end:e.held])
-			e.held -= end
-			return batch, e.finish(err)
+			copy(e.buffer, e.buffer[end:e.buffered])
+			e.buffered -= end
+			return batch, e.endError(err)
 		}
 		if err != nil {
-			return nil, e.finish(err)
+			return nil, e.endError(err)
 		}
 	}
 }
 
-// finish returns the error to report for a read error: io.EOF becomes another error if part
+// endError returns the error to report for a read error: io.EOF becomes another error if part
 // of an event is left in the buffer.
-func (e *events) finish(err error) error {
-	if errors.Is(err, io.EOF) && e.held > 0 {
+func (e *eventReader) endError(err error) error {
+	if errors.Is(err, io.EOF) && e.buffered > 0 {
 		return errors.New("stream ends within an event")
 	}
 	return err
@@ -75,39 +75,39 @@
 
 // scan finds the whole events in the buffer, checks their ids and returns the offset at
 // which the last of them ends.
-func (e *events) scan() (int, error) {
+func (e *eventReader) scan() (int, error) {
 	end := 0
 	for {
-		n := indexEnd(e.buffer[end:e.held])
+		n := eventEndOffset(e.buffer[end:e.buffered])
 		if n < 0 {
 			return end, nil
 		}
-		if err := e.check(e.buffer[end : end+n]); err != nil {
+		if err := e.checkID(e.buffer[end : end+n]); err != nil {
 			return 0, err
 		}
-		e.count++
+		e.batchCount++
 		end += n
 	}
 }
 
-// check returns an error if an event has an id that does not follow the previous one.
-func (e *events) check(event []byte) error {
+// checkID returns an error if an event has an id that does not follow the previous one.
+func (e *eventReader) checkID(event []byte) error {
 	for l := range bytes.Lines(event) {
 		value, ok := bytes.CutPrefix(l, []byte("id:"))
 		if !ok {
 			continue
 		}
 		id := string(bytes.TrimSpace(value))
-		if !follows(e.last, id) {
-			return errors.Wrapf(errOrder, "%q after %q", id, e.last)
+		if !mayFollow(e.lastID, id) {
+			return errors.Wrapf(errEventOrder, "%q after %q", id, e.lastID)
 		}
-		e.last = id
+		e.lastID = id
 	}
 	return nil
 }
 
-// follows reports whether id may come after last. Ids that are not numbers are not compared.
-func follows(last, id string) bool {
+// mayFollow reports whether id may come after last. Ids that are not numbers are not compared.
+func mayFollow(last, id string) bool {
 	if last == "" {
 		return true
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -61,43 +61,43 @@
 }
 
 const (
-	// minLeft is the time that must be left before the deadline for a retry.
-	minLeft = 5 * time.Millisecond
-	// comeBackSoon is the default Retry-After of a failed request. It is short because the
-	// next attempt goes to another target.
-	comeBackSoon = 200 * time.Millisecond
+	// minTimeForRetry is the time that must be left before the deadline for a retry.
+	minTimeForRetry = 5 * time.Millisecond
+	// defaultRetryAfter is the default Retry-After of a failed request. It is short because
+	// the next attempt goes to another target.
+	defaultRetryAfter = 200 * time.Millisecond
 )
 
-// run is one request while it is being forwarded.
-type run struct {
+// inflight is one request while it is being forwarded.
+type inflight struct {
 	*Forwarder
 	Request
 	caller   Caller
 	ticket   *balance.Ticket
 	deadline time.Time
-	// source is an engine from which the target can fetch cached parts of the prompt; its
-	// ID is empty if there is none.
-	source  balance.Target
-	verdict Verdict
-	// answers is set once the target of the current send has started to answer.
-	answers bool
+	// fetchSource is an engine from which the target can fetch cached parts of the prompt;
+	// its ID is empty if there is none.
+	fetchSource balance.Target
+	verdict     Verdict
+	// answerStarted is set once the target of the current send has started to answer.
+	answerStarted bool
 	// mayHaveRun is set once a target may have run the request, wholly or in part.
 	mayHaveRun bool
-	// last is the id of the last event forwarded to the caller, from which a stream resumes.
-	last string
-	// passed is the number of events forwarded to the caller.
-	passed int
-	// content is the key of the request's content, computed when first needed.
-	content *quarantine.Key
-	// trial is set if the request is sent although targets have crashed while running it.
-	trial bool
+	// lastEventID is the id of the last event that the caller has, after which a retry resumes.
+	lastEventID string
+	// forwardedEvents is the number of events forwarded to the caller.
+	forwardedEvents int
+	// contentKey identifies the request by its content; computed when first needed, see key.
+	contentKey *quarantine.Key
+	// onTrial is set if the request is sent although targets have crashed while running it.
+	onTrial bool
 }
 
 // Forward sends r to a target and the answer to caller. It returns when the answer is
 // complete or the request is abandoned. ctx must end when the caller disconnects.
 func (f *Forwarder) Forward(ctx context.Context, r Request, caller Caller) Verdict {
 	deadline := r.Expires()
-	x := &run{Forwarder: f, Request: r, caller: caller, deadline: deadline, last: r.LastEvent}
+	x := &inflight{Forwarder: f, Request: r, caller: caller, deadline: deadline, lastEventID: r.LastEvent}
 	x.ticket = &balance.Ticket{
 		ID: r.ID, Service: r.Service, Organisation: r.Organisation, Engine: r.Engine, Stream: r.Route.Kind == routing.Streaming,
 		Parts: r.Parts, Input: r.Input, Output: r.Output, Goal: r.Route.Goal,
@@ -105,52 +105,52 @@
 	}
 	timed, cancel := context.WithTimeout(ctx, clock.Until(deadline))
 	defer cancel()
-	if x.heldBack(timed) {
+	if x.refuseQuarantined(timed) {
 		return x.verdict
 	}
-	x.run(timed)
-	if x.trial {
+	x.sendUntilDone(timed)
+	if x.onTrial {
 		x.suspects.Tried(x.key())
 	}
 	return x.verdict
 }
 
-// run sends the request, with retries, until it is answered, refused or abandoned.
-func (x *run) run(ctx context.Context) {
+// sendUntilDone sends the request, with retries, until it is answered, refused or abandoned.
+func (x *inflight) sendUntilDone(ctx context.Context) {
 	x.loop.Post(func(s *balance.State, now time.Time) { s.Arrive(now, x.ticket) })
 	for {
-		to, ok := x.target(ctx)
+		to, ok := x.awaitTarget(ctx)
 		if !ok {
 			return
 		}
 		if x.Gone != nil && x.Gone() {
-			x.end(balance.Left)
-			x.giveUp(ctx)
+			x.endSend(balance.Left)
+			x.abandon(ctx)
 			return
 		}
 		if clock.Until(x.deadline) <= 0 {
 			// The box was suspended, which also stopped the timer of ctx.
-			x.end(balance.Left)
-			x.giveUp(ctx)
+			x.endSend(balance.Left)
+			x.abandon(ctx)
 			return
 		}
-		if x.heldBack(ctx) {
+		if x.refuseQuarantined(ctx) {
 			// The request was quarantined while it waited for a target.
-			x.end(balance.Refused)
+			x.endSend(balance.Refused)
 			return
 		}
-		err := x.try(ctx, to)
+		err := x.sendTo(ctx, to)
 		if err == nil {
 			return
 		}
-		if !x.again(ctx, to, err) {
+		if !x.handleFailure(ctx, to, err) {
 			return
 		}
 	}
 }
 
-// target waits until the control thread has chosen a target or refused the request.
-func (x *run) target(ctx context.Context) (balance.Target, bool) {
+// awaitTarget waits until the control thread has chosen a target or refused the request.
+func (x *inflight) awaitTarget(ctx context.Context) (balance.Target, bool) {
 	select {
 	case d := <-x.ticket.Decision:
 		x.verdict.Waited = d.Waited
@@ -161,18 +161,18 @@
 		x.verdict.Target = d.Target.ID
 		x.verdict.Unread, x.verdict.Miss, x.verdict.Fetched = d.Unread, d.Miss, d.Fetched
 		x.verdict.Lapsed = d.Lapsed
-		x.source = d.Source
+		x.fetchSource = d.Source
 		return d.Target, true
 	case <-ctx.Done():
 		x.withdraw()
-		x.giveUp(ctx)
+		x.abandon(ctx)
 		return balance.Target{}, false
 	}
 }
 
 // withdraw takes the request back from the control thread. If a target has been chosen
 // already, it releases the load counted there.
-func (x *run) withdraw() {
+func (x *inflight) withdraw() {
 	t := x.ticket
 	x.loop.Post(func(s *balance.State, now time.Time) {
 		s.Withdraw(t)
@@ -186,7 +186,7 @@
 
 // refuse sets the verdict of a request that no target ran, or whose answer cannot be
 // continued.
-func (x *run) refuse(why Reason, after time.Duration) {
+func (x *inflight) refuse(why Reason, after time.Duration) {
 	x.verdict.Reason = why
 	if x.verdict.Begun {
 		x.verdict.Cut = true
@@ -200,8 +200,8 @@
 	x.verdict.RetryAfter = after
 }
 
-// giveUp sets the verdict of a request whose deadline has passed or whose caller has gone.
-func (x *run) giveUp(ctx context.Context) {
+// abandon sets the verdict of a request whose deadline has passed or whose caller has gone.
+func (x *inflight) abandon(ctx context.Context) {
 	x.verdict.Reason = ReasonGone
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		x.verdict.Reason = ReasonDeadline
@@ -213,7 +213,7 @@
 	x.verdict.Status = http.StatusGatewayTimeout
 	if !x.mayHaveRun {
 		x.verdict.Status = http.StatusServiceUnavailable
-		x.verdict.RetryAfter = comeBackSoon
+		x.verdict.RetryAfter = defaultRetryAfter
 	}
 }
 
@@ -221,105 +221,105 @@
 type failure struct {
 	reason Reason
 	result balance.Result
-	// ran is set if the target may have run the request.
-	ran bool
-	// answer is the target's own error answer, to be forwarded if the request is not
+	// mayHaveRun is set if the target may have run the request.
+	mayHaveRun bool
+	// errorAnswer is the target's own error answer, to be forwarded if the request is not
 	// retried; nil if there is none.
-	answer *kept
-	cause  error
+	errorAnswer *bufferedAnswer
+	cause       error
 }
 
 func (f *failure) Error() string { return string(f.reason) + ": " + f.cause.Error() }
 
-// again handles a failed send. It returns true if the request is retried: the control
+// handleFailure handles a failed send. It returns true if the request is retried: the control
 // thread then chooses another target. Otherwise it answers or refuses the request.
-func (x *run) again(ctx context.Context, to balance.Target, f *failure) bool {
-	if f.ran {
+func (x *inflight) handleFailure(ctx context.Context, to balance.Target, f *failure) bool {
+	if f.mayHaveRun {
 		x.mayHaveRun = true
 	}
 	if ctx.Err() != nil {
-		x.giveUp(ctx)
+		x.abandon(ctx)
 		return false
 	}
-	if x.crashed(ctx, to, f) {
-		x.logFailed("given up", to, f)
-		x.refuse(f.reason, comeBackSoon)
+	if x.reportBreak(ctx, to, f) {
+		x.logFailure("given up", to, f)
+		x.refuse(f.reason, defaultRetryAfter)
 		return false
 	}
 	if x.mayRetry(f) && x.retry(ctx, to) {
 		x.counts.Retried(f.reason)
-		x.logFailed("sent again", to, f)
+		x.logFailure("sent again", to, f)
 		return true
 	}
-	if f.answer != nil && !x.verdict.Begun {
-		x.pass(f.answer)
+	if f.errorAnswer != nil && !x.verdict.Begun {
+		x.writeAnswer(f.errorAnswer)
 		return false
 	}
-	x.logFailed("given up", to, f)
-	x.refuse(f.reason, x.comeBack(ctx, f))
+	x.logFailure("given up", to, f)
+	x.refuse(f.reason, x.retryAfter(ctx, f))
 	return false
 }
 
-// comeBack returns the Retry-After for a request whose last send failed. Where all targets
+// retryAfter returns the Retry-After for a request whose last send failed. Where all targets
 // of the service are backing off, it is the time until they accept requests again.
-func (x *run) comeBack(ctx context.Context, f *failure) time.Duration {
+func (x *inflight) retryAfter(ctx context.Context, f *failure) time.Duration {
 	if f.reason != ReasonRefused {
-		return comeBackSoon
+		return defaultRetryAfter
 	}
-	after := comeBackSoon
-	asked := x.loop.Ask(ctx, func(s *balance.State, now time.Time) {
+	after := defaultRetryAfter
+	answered := x.loop.Ask(ctx, func(s *balance.State, now time.Time) {
 		if d, ok := s.RestLeft(now, x.Service); ok {
 			after = max(after, d)
 		}
 	})
-	if !asked {
-		return comeBackSoon
+	if !answered {
+		return defaultRetryAfter
 	}
 	return after
 }
 
-// logFailed logs a failed send and what follows it. If the target broke off its answer, the
+// logFailure logs a failed send and what follows it. If the target broke off its answer, the
 // line has a digest of the content, so that a request that breaks one target after another
 // can be found in the log.
-func (x *run) logFailed(what string, to balance.Target, f *failure) {
+func (x *inflight) logFailure(what string, to balance.Target, f *failure) {
 	log := x.log
 	if f.reason == ReasonBroken || f.reason == ReasonRestarted {
 		log = log.WithValues("content", x.key().String())
 	}
-	log.Info(what, "id", x.ID, "target", to.ID, "reason", f.reason, "cause", f.cause.Error(), "events", x.passed)
+	log.Info(what, "id", x.ID, "target", to.ID, "reason", f.reason, "cause", f.cause.Error(), "events", x.forwardedEvents)
 }
 
 // mayRetry reports whether the request may be sent to another target.
-func (x *run) mayRetry(f *failure) bool {
+func (x *inflight) mayRetry(f *failure) bool {
 	if x.verdict.Sends >= max(x.Route.MaxAttempts, 1) {
 		return false
 	}
-	if clock.Until(x.deadline) < minLeft {
+	if clock.Until(x.deadline) < minTimeForRetry {
 		return false
 	}
 	if x.verdict.Begun && !x.Route.Resumable {
 		return false
 	}
-	return !f.ran || x.Route.Repeatable()
+	return !f.mayHaveRun || x.Route.Repeatable()
 }
 
 // retry asks the control thread for another target and reports whether the retry budget
 // allows it. It spends no budget as long as no send has reached a target.
-func (x *run) retry(ctx context.Context, to balance.Target) bool {
+func (x *inflight) retry(ctx context.Context, to balance.Target) bool {
 	t := x.ticket
-	free, resumes := x.verdict.Sends == 0, x.verdict.Begun
+	unsent, resumes := x.verdict.Sends == 0, x.verdict.Begun
 	allowed := false
-	asked := x.loop.Ask(ctx, func(s *balance.State, now time.Time) {
+	answered := x.loop.Ask(ctx, func(s *balance.State, now time.Time) {
 		t.Tried = append(t.Tried, to.Incarnation())
 		t.Resumes = resumes
-		if free {
+		if unsent {
 			s.Unsent(now, t)
 			allowed = true
 			return
 		}
 		allowed = s.Again(now, t)
 	})
-	if !asked {
+	if !answered {
 		// The event is still in the queue, and nobody would receive the decision it leads to.
 		x.withdraw()
 		return false
@@ -327,9 +327,9 @@
 	return allowed
 }
 
-// head returns the request line and headers to send to a target.
-func (x *run) head(to balance.Target, deadline time.Time) []byte {
-	b := make([]byte, 0, headSize)
+// requestHead returns the request line and headers to send to a target.
+func (x *inflight) requestHead(to balance.Target, deadline time.Time) []byte {
+	b := make([]byte, 0, initialHeadSize)
 	b = append(b, x.Method...)
 	b = append(b, ' ')
 	b = append(b, x.Target...)
@@ -338,31 +338,33 @@
 	b = append(b, "\r\n"...)
 	for name, values := range x.Header {
 		for _, v := range values {
-			b = line(b, name, v)
+			b = appendHeader(b, name, v)
 		}
 	}
-	b = line(b, x.dialect.RequestID, x.ID)
-	b = line(b, x.dialect.Deadline, strconv.FormatInt(max(clock.Until(deadline).Milliseconds(), 1), 10))
-	b = line(b, x.dialect.ExpectTarget, to.ID)
+	b = appendHeader(b, x.dialect.RequestID, x.ID)
+	b = appendHeader(b, x.dialect.Deadline, strconv.FormatInt(max(clock.Until(deadline).Milliseconds(), 1), 10))
+	b = appendHeader(b, x.dialect.ExpectTarget, to.ID)
 	if x.Organisation != "" {
-		b = line(b, x.dialect.Organisation, x.Organisation)
+		b = appendHeader(b, x.dialect.Organisation, x.Organisation)
 	}
-	if x.last != "" {
-		b = line(b, x.dialect.LastEvent, x.last)
+	if x.lastEventID != "" {
+		b = appendHeader(b, x.dialect.LastEvent, x.lastEventID)
 	}
-	if x.source.ID != "" && x.dialect.FetchFrom != "" {
-		b = line(b, x.dialect.FetchFrom, x.source.Address)
+	if x.fetchSource.ID != "" && x.dialect.FetchFrom != "" {
+		b = appendHeader(b, x.dialect.FetchFrom, x.fetchSource.Address)
 	}
 	if len(x.Body) > 0 || x.Method == http.MethodPost || x.Method == http.MethodPut || x.Method == http.MethodPatch {
-		b = line(b, "Content-Length", strconv.Itoa(len(x.Body)))
+		b = appendHeader(b, "Content-Length", strconv.Itoa(len(x.Body)))
 	}
 	return append(b, "\r\n"...)
 }
 
-// headSize is the initial capacity for a request's head in bytes, enough for most requests.
-const headSize = 768
+// initialHeadSize is the initial capacity for a request's head in bytes, enough for most
+// requests.
+const initialHeadSize = 768
 
-func line(b []byte, name, value string) []byte {
+// appendHeader appends a header line to the head of a request.
+func appendHeader(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
 	b = append(b, value...)
--- a/internal/forward/suspects.go
+++ b/internal/forward/suspects.go
@@ -40,25 +40,26 @@
 }
 
 // key identifies the request by its content, so that repeats with other ids are recognised.
-func (x *run) key() quarantine.Key {
-	if x.content == nil {
+func (x *inflight) key() quarantine.Key {
+	if x.contentKey == nil {
 		k := quarantine.KeyOf(x.Organisation, x.Method, x.Target, x.Body)
-		x.content = &k
+		x.contentKey = &k
 	}
-	return *x.content
+	return *x.contentKey
 }
 
-// heldBack refuses the request and returns true if the request is quarantined. Without this,
-// one request that a caller kept repeating crashed 38 to 44 engines in 10 s, together with
-// everything else they ran. It costs one pointer comparison while nothing is suspected.
-func (x *run) heldBack(ctx context.Context) bool {
+// refuseQuarantined refuses the request and returns true if the request is quarantined.
+// Without this, one request that a caller kept repeating crashed 38 to 44 engines in 10 s,
+// together with everything else they ran. It costs one pointer comparison while nothing is
+// suspected.
+func (x *inflight) refuseQuarantined(ctx context.Context) bool {
 	v := x.suspects.View()
 	if v == nil {
 		return false
 	}
 	now, k := clock.Now(), x.key()
 	left := v.Held(now, k)
-	if left == 0 && x.mayTry(ctx, v.Crashes(k)) {
+	if left == 0 && x.maySendSuspect(ctx, v.Crashes(k)) {
 		return false
 	}
 	if v.Stale(now, k) {
@@ -66,30 +67,31 @@
 	}
 	x.verdict.Content = k.String()
 	if left == 0 {
-		left = trialAfter
+		left = trialRetryAfter
 	}
 	x.refuse(ReasonQuarantined, left)
 	return true
 }
 
-// trialAfter is the Retry-After of a quarantined request that may be sent on trial, but not
+// trialRetryAfter is the Retry-After of a quarantined request that may be sent on trial, but not
 // now or not by this router.
-const trialAfter = 5 * time.Second
+const trialRetryAfter = 5 * time.Second
 
-// mayTry reports whether the request may be sent although it has crashed targets. If it is
-// quarantined, it may be sent only on trial.
-func (x *run) mayTry(ctx context.Context, crashes int) bool {
-	if !quarantine.Holds(crashes) || x.trial {
-		x.trial = !quarantine.MayRepeat(crashes)
+// maySendSuspect reports whether the request may be sent although targets have crashed while
+// running it. From a certain number of crashes on it may be sent only on trial, by one router
+// at a time.
+func (x *inflight) maySendSuspect(ctx context.Context, crashes int) bool {
+	if !quarantine.Holds(crashes) || x.onTrial {
+		x.onTrial = !quarantine.MayRepeat(crashes)
 		return true
 	}
-	x.trial = x.suspects.Try(ctx, x.key(), x.deadline)
-	return x.trial
+	x.onTrial = x.suspects.Try(ctx, x.key(), x.deadline)
+	return x.onTrial
 }
 
-// crashed reports a broken-off answer or a silent target to the suspects. It returns true if
+// reportBreak reports a broken-off answer or a silent target to the suspects. It returns true if
 // so many targets have exited while running the request that the router must not retry it.
-func (x *run) crashed(ctx context.Context, to balance.Target, f *failure) bool {
+func (x *inflight) reportBreak(ctx context.Context, to balance.Target, f *failure) bool {
 	ended := false
 	switch f.reason {
 	case ReasonRestarted:
@@ -101,12 +103,12 @@
 	default:
 		return false
 	}
-	crashes := x.suspects.Broke(ctx, Break{Key: x.key(), Organisation: x.Organisation, Target: to, Ended: ended, Trial: x.trial})
+	crashes := x.suspects.Broke(ctx, Break{Key: x.key(), Organisation: x.Organisation, Target: to, Ended: ended, Trial: x.onTrial})
 	return !quarantine.MayRepeat(crashes)
 }
 
-// survived clears the suspicion against a request that a target has run to its end.
-func (x *run) survived() {
+// clearSuspicion clears the suspicion against a request that a target has run to its end.
+func (x *inflight) clearSuspicion() {
 	if x.suspects.View().Crashes(x.key()) > 0 {
 		x.suspects.Cleared(x.key())
 	}
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -18,16 +18,17 @@
 )
 
 const (
-	// firstShare is the time, in percent of the route's goal, after which a target that has
-	// sent nothing counts as silent, if another one may take over.
-	firstShare = 150
-	// pauses is the number of times the route's maximum pause after which a stream counts
-	// as silent, if another engine may take over.
-	pauses = 4
+	// firstEventGoalPercent is the time, in percent of the route's goal, after which a target
+	// that has sent nothing counts as silent, if another one may take over.
+	firstEventGoalPercent = 150
+	// maxSilentPauses is the time, in multiples of the route's maximum pause between events,
+	// after which a stream counts as silent, if another engine may take over.
+	maxSilentPauses = 4
 	// minSilence is the shortest time after which a target counts as silent.
 	minSilence = 600 * time.Millisecond
-	// maxKept is the size, in bytes, up to which an answer is buffered until it is complete.
-	maxKept = 256 << 10
+	// maxBufferedAnswer is the size, in bytes, up to which an answer is buffered until it is
+	// complete.
+	maxBufferedAnswer = 256 << 10
 )
 
 var (
@@ -37,50 +38,50 @@
 	errRestarted = errors.New("target restarted")
 )
 
-// kept is a buffered answer.
-type kept struct {
+// bufferedAnswer is an answer that has been received completely.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// try sends the request to one target and forwards the answer. It returns nil if the answer
+// sendTo sends the request to one target and forwards the answer. It returns nil if the answer
 // was forwarded completely.
-func (x *run) try(ctx context.Context, to balance.Target) *failure {
+func (x *inflight) sendTo(ctx context.Context, to balance.Target) *failure {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := x.watch(cancel)
-	defer watch.Stop()
+	silence := x.startSilenceTimer(cancel)
+	defer silence.Stop()
 	x.ticket.OnLost(func() { cancel(errRestarted) })
 	defer x.ticket.OnLost(nil)
 	answer, err := x.sender.Send(ctx, to.Address, httptarget.Request{
-		Method: x.Method, Head: x.head(to, x.deadline), Body: x.Body, Instance: to.Incarnation(),
+		Method: x.Method, Head: x.requestHead(to, x.deadline), Body: x.Body, Instance: to.Incarnation(),
 		ID: x.ID, IDHeader: x.dialect.RequestID,
 	})
 	if err != nil {
 		return x.sendFailed(ctx, to, err)
 	}
 	x.verdict.Sends++
-	x.answers = false
-	x.advised(to, answer)
-	f := x.receive(ctx, answer, watch)
+	x.answerStarted = false
+	x.readAdvice(to, answer)
+	f := x.forwardAnswer(ctx, answer, silence)
 	answer.Close()
 	if f == nil {
-		x.end(balance.Answered)
+		x.endSend(balance.Answered)
 		if x.suspects.View() != nil {
-			x.survived()
+			x.clearSuspicion()
 		}
 		return nil
 	}
 	if context.Cause(ctx) != nil {
-		f = x.stopped(ctx, f.cause)
+		f = x.cancelledFailure(ctx, f.cause)
 	}
-	x.end(f.result)
+	x.endSend(f.result)
 	return f
 }
 
 // sendFailed handles a send that got no answer: not even its head was received.
-func (x *run) sendFailed(ctx context.Context, to balance.Target, err error) *failure {
+func (x *inflight) sendFailed(ctx context.Context, to balance.Target, err error) *failure {
 	if errors.Is(err, httptarget.ErrNotSent) {
 		f := &failure{reason: ReasonUnreachable, result: balance.Unreachable, cause: err}
 		if errors.Is(err, httptarget.ErrNobodyListens) {
@@ -89,59 +90,60 @@
 		if ctx.Err() != nil {
 			f.result = balance.Left
 		}
-		x.end(f.result)
+		x.endSend(f.result)
 		return f
 	}
 	x.verdict.Sends++
-	f := &failure{reason: ReasonBroken, result: balance.Failed, ran: true, cause: err}
+	f := &failure{reason: ReasonBroken, result: balance.Failed, mayHaveRun: true, cause: err}
 	if ctx.Err() != nil {
-		f = x.stopped(ctx, err)
+		f = x.cancelledFailure(ctx, err)
 	}
-	x.end(f.result)
+	x.endSend(f.result)
 	return f
 }
 
-// stopped returns the failure of an exchange that was cancelled by this router, or because
-// the caller disconnected.
-func (x *run) stopped(ctx context.Context, err error) *failure {
+// cancelledFailure returns the failure of an exchange that was cancelled by this router, or
+// because the caller disconnected.
+func (x *inflight) cancelledFailure(ctx context.Context, err error) *failure {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, errSilent):
-		return &failure{reason: ReasonSilent, result: balance.Failed, ran: true, cause: err}
+		return &failure{reason: ReasonSilent, result: balance.Failed, mayHaveRun: true, cause: err}
 	case errors.Is(cause, errRestarted):
-		return &failure{reason: ReasonRestarted, result: balance.Failed, ran: true, cause: err}
+		return &failure{reason: ReasonRestarted, result: balance.Failed, mayHaveRun: true, cause: err}
 	}
-	return &failure{reason: ReasonGone, result: balance.Left, ran: true, cause: err}
+	return &failure{reason: ReasonGone, result: balance.Left, mayHaveRun: true, cause: err}
 }
 
-func (x *run) end(how balance.Result) {
+// endSend tells the control thread how the current send ended.
+func (x *inflight) endSend(result balance.Result) {
 	t := x.ticket
-	x.loop.Post(func(s *balance.State, now time.Time) { s.Ended(now, t, how) })
+	x.loop.Post(func(s *balance.State, now time.Time) { s.Ended(now, t, result) })
 }
 
-// begun records that a piece of the answer has arrived. It notifies the control thread of
+// recordPiece records that a piece of the answer has arrived. It notifies the control thread of
 // the first piece of each send only: a message for each event of a stream would wake it
 // thousands of times a second.
-func (x *run) begun() {
+func (x *inflight) recordPiece() {
 	if x.verdict.First == 0 {
 		x.verdict.First = clock.Since(x.Arrived)
 	}
 	x.ticket.Heard.Store(clock.Since(x.ticket.Arrived).Nanoseconds())
-	if x.answers {
+	if x.answerStarted {
 		return
 	}
-	x.answers = true
+	x.answerStarted = true
 	t := x.ticket
 	x.loop.Post(func(s *balance.State, now time.Time) { s.Begun(now, t) })
 }
 
-// watch returns a timer that cancels the exchange when the target is silent for too long and
-// another one may take over. If no further send is allowed, the timer does nothing.
-func (x *run) watch(cancel context.CancelCauseFunc) *time.Timer {
+// startSilenceTimer returns a timer that cancels the exchange when the target is silent for
+// too long and another one may take over. If no further send is allowed, it does nothing.
+func (x *inflight) startSilenceTimer(cancel context.CancelCauseFunc) *time.Timer {
 	if !x.Route.Repeatable() || x.verdict.Sends+1 >= x.Route.MaxAttempts {
 		return time.AfterFunc(clock.Until(x.deadline), func() {})
 	}
 	t := x.ticket
-	return time.AfterFunc(max(x.Route.Goal*firstShare/100, minSilence), func() {
+	return time.AfterFunc(max(x.Route.Goal*firstEventGoalPercent/100, minSilence), func() {
 		x.loop.Post(func(s *balance.State, now time.Time) {
 			if s.MayLeave(now, t, minSilence) {
 				cancel(errSilent)
@@ -150,60 +152,60 @@
 	})
 }
 
-// receive forwards an answer, or returns why it could not.
-func (x *run) receive(ctx context.Context, a *httptarget.Answer, watch *time.Timer) *failure {
+// forwardAnswer forwards an answer, or returns why it could not.
+func (x *inflight) forwardAnswer(ctx context.Context, a *httptarget.Answer, silence *time.Timer) *failure {
 	if a.Header.Get(x.dialect.NotRun) != "" || a.Status == http.StatusMisdirectedRequest {
 		cause := errors.Errorf("status %d", a.Status)
-		if _, err := io.Copy(io.Discard, io.LimitReader(a, maxKept)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(a, maxBufferedAnswer)); err != nil {
 			cause = errors.Wrap(err, cause.Error())
 		}
 		return &failure{reason: ReasonRefused, result: balance.Refused, cause: cause}
 	}
 	if x.Route.Kind == routing.Streaming && a.Status == http.StatusOK {
-		return x.stream(ctx, a, watch)
+		return x.forwardStream(ctx, a, silence)
 	}
-	return x.whole(a)
+	return x.forwardBuffered(a)
 }
 
-// whole forwards an answer that is not a stream. It buffers the answer first, so that the
-// request can be retried if the answer breaks off, unless the answer is too long for that.
-func (x *run) whole(a *httptarget.Answer) *failure {
-	if a.Length() > maxKept {
-		return x.long(a)
+// forwardBuffered forwards an answer that is not a stream. It buffers the answer first, so
+// that the request can be retried if the answer breaks off, unless it is too long for that.
+func (x *inflight) forwardBuffered(a *httptarget.Answer) *failure {
+	if a.Length() > maxBufferedAnswer {
+		return x.forwardUnbuffered(a)
 	}
-	body, err := io.ReadAll(io.LimitReader(a, maxKept+1))
+	body, err := io.ReadAll(io.LimitReader(a, maxBufferedAnswer+1))
 	if err != nil {
-		return &failure{reason: ReasonBroken, result: balance.Failed, ran: true, cause: err}
+		return &failure{reason: ReasonBroken, result: balance.Failed, mayHaveRun: true, cause: err}
 	}
-	if len(body) > maxKept {
-		return &failure{reason: ReasonBroken, result: balance.Failed, ran: true, cause: errors.New("answer without Content-Length is too long to buffer")}
+	if len(body) > maxBufferedAnswer {
+		return &failure{reason: ReasonBroken, result: balance.Failed, mayHaveRun: true, cause: errors.New("answer without Content-Length is too long to buffer")}
 	}
-	x.begun()
-	k := &kept{status: a.Status, header: x.answerHeader(a.Header), body: body}
+	x.recordPiece()
+	whole := &bufferedAnswer{status: a.Status, header: x.answerHeader(a.Header), body: body}
 	if a.Status >= http.StatusInternalServerError {
-		return &failure{reason: ReasonFailed, result: balance.Answered, ran: true, answer: k, cause: errors.Errorf("status %d", a.Status)}
+		return &failure{reason: ReasonFailed, result: balance.Answered, mayHaveRun: true, errorAnswer: whole, cause: errors.Errorf("status %d", a.Status)}
 	}
 	if x.verdict.Begun {
-		return &failure{reason: ReasonFailed, result: balance.Answered, ran: true, cause: errors.Errorf("status %d instead of the resumed stream", a.Status)}
+		return &failure{reason: ReasonFailed, result: balance.Answered, mayHaveRun: true, cause: errors.Errorf("status %d instead of the resumed stream", a.Status)}
 	}
-	x.pass(k)
+	x.writeAnswer(whole)
 	return nil
 }
 
-// pass sends a buffered answer to the caller.
-func (x *run) pass(k *kept) {
+// writeAnswer sends a buffered answer to the caller.
+func (x *inflight) writeAnswer(a *bufferedAnswer) {
 	x.verdict.Begun = true
-	x.verdict.Status = k.status
-	x.caller.Head(k.status, k.header, int64(len(k.body)))
-	if err := x.caller.Write(k.body); err != nil {
+	x.verdict.Status = a.status
+	x.caller.Head(a.status, a.header, int64(len(a.body)))
+	if err := x.caller.Write(a.body); err != nil {
 		x.verdict.Cut = true
 		x.verdict.Reason = ReasonGone
 	}
 }
 
-// long forwards an answer of known length while it is being received.
-func (x *run) long(a *httptarget.Answer) *failure {
-	x.begun()
+// forwardUnbuffered forwards an answer of known length while it is being received.
+func (x *inflight) forwardUnbuffered(a *httptarget.Answer) *failure {
+	x.recordPiece()
 	x.verdict.Begun = true
 	x.verdict.Status = a.Status
 	x.caller.Head(a.Status, x.answerHeader(a.Header), a.Length())
@@ -211,26 +213,26 @@
 	for {
 		n, err := a.Read(buffer)
 		if n > 0 {
-			if werr := x.caller.Write(buffer[:n]); werr != nil {
-				return &failure{reason: ReasonGone, result: balance.Left, ran: true, cause: werr}
+			if writeErr := x.caller.Write(buffer[:n]); writeErr != nil {
+				return &failure{reason: ReasonGone, result: balance.Left, mayHaveRun: true, cause: writeErr}
 			}
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return &failure{reason: ReasonBroken, result: balance.Failed, ran: true, cause: err}
+			return &failure{reason: ReasonBroken, result: balance.Failed, mayHaveRun: true, cause: err}
 		}
 	}
 }
 
-// stream forwards a stream of events as they arrive.
-func (x *run) stream(ctx context.Context, a *httptarget.Answer, watch *time.Timer) *failure {
-	events := newEvents(a)
+// forwardStream forwards a stream of events as they arrive.
+func (x *inflight) forwardStream(ctx context.Context, a *httptarget.Answer, silence *time.Timer) *failure {
+	reader := newEventReader(a)
 	for {
-		batch, err := events.next(x.last)
+		batch, err := reader.next(x.lastEventID)
 		if len(batch) > 0 {
-			if f := x.events(a, events, batch, watch); f != nil {
+			if f := x.forwardBatch(a, reader, batch, silence); f != nil {
 				return f
 			}
 		}
@@ -241,49 +243,50 @@
 			return nil
 		}
 		if err != nil {
-			return &failure{reason: ReasonBroken, result: balance.Failed, ran: true, cause: err}
+			return &failure{reason: ReasonBroken, result: balance.Failed, mayHaveRun: true, cause: err}
 		}
 		x.coalesce(ctx)
 	}
 }
 
-// coalesceShare is the longest time, in percent of the route's maximum pause, for which a
+// maxCoalescePercent is the longest time, in percent of the route's maximum pause, for which a
 // router that is short of processor time collects events before it forwards them together.
 // The rest of the pause is left to the engine and to the router's own queue. For a stream of
 // 40 events 50 ms apart this takes 1.8 ms of processor time instead of 2.2 ms, including the
 // engine's and the caller's part (BenchmarkStreams).
-const coalesceShare = 25
+const maxCoalescePercent = 25
 
 // coalesce waits for further events of a stream, to forward them together, if the router is
 // short of processor time.
-func (x *run) coalesce(ctx context.Context) {
-	d := time.Duration(x.loop.Coalesce() * float64(x.Route.MaxPause*coalesceShare/100))
+func (x *inflight) coalesce(ctx context.Context) {
+	d := time.Duration(x.loop.Coalesce() * float64(x.Route.MaxPause*maxCoalescePercent/100))
 	if d > 0 {
 		group.SleepUntil(ctx, clock.Now().Add(d))
 	}
 }
 
-// events forwards a batch of whole events and restarts the silence timer.
-func (x *run) events(a *httptarget.Answer, events *events, batch []byte, watch *time.Timer) *failure {
-	if x.passed == 0 || !x.verdict.Begun {
+// forwardBatch forwards a batch of whole events and restarts the silence timer.
+func (x *inflight) forwardBatch(a *httptarget.Answer, reader *eventReader, batch []byte, silence *time.Timer) *failure {
+	if x.forwardedEvents == 0 || !x.verdict.Begun {
 		x.startStream(a)
 	}
-	x.begun()
+	x.recordPiece()
 	if err := x.caller.Write(batch); err != nil {
-		return &failure{reason: ReasonGone, result: balance.Left, ran: true, cause: err}
+		return &failure{reason: ReasonGone, result: balance.Left, mayHaveRun: true, cause: err}
 	}
 	x.ticket.Pieces.Add(1)
-	x.passed += events.count
-	x.last = events.last
+	x.forwardedEvents += reader.batchCount
+	x.lastEventID = reader.lastID
 	if x.Route.Repeatable() && x.verdict.Sends < x.Route.MaxAttempts {
-		watch.Reset(max(pauses*x.Route.MaxPause, minSilence))
+		silence.Reset(max(maxSilentPauses*x.Route.MaxPause, minSilence))
 		return nil
 	}
-	watch.Stop()
+	silence.Stop()
 	return nil
 }
 
-func (x *run) startStream(a *httptarget.Answer) {
+// startStream sends the head of a stream to the caller, unless an earlier target's was sent.
+func (x *inflight) startStream(a *httptarget.Answer) {
 	if x.verdict.Begun {
 		return
 	}
@@ -293,10 +296,10 @@
 }
 
 // answerHeader returns the headers of an answer that are forwarded to the caller.
-func (x *run) answerHeader(h http.Header) http.Header {
+func (x *inflight) answerHeader(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
-		if !hopByHop[name] && !named(h["Connection"], name) {
+		if !hopByHop[name] && !listedIn(h["Connection"], name) {
 			out[name] = values
 		}
 	}
@@ -314,10 +317,11 @@
 // HopByHop reports whether a header, whose name is in canonical form, applies to one
 // connection only. connection holds the values of the message's Connection header.
 func HopByHop(name string, connection []string) bool {
-	return hopByHop[name] || named(connection, name)
+	return hopByHop[name] || listedIn(connection, name)
 }
 
-func named(connection []string, name string) bool {
+// listedIn reports whether a Connection header lists the header name.
+func listedIn(connection []string, name string) bool {
 	for _, v := range connection {
 		for token := range strings.SplitSeq(v, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), name) {
@@ -328,12 +332,12 @@
 	return false
 }
 
-// eventEnd is the empty line that ends an event.
-var eventEnd = []byte("\n\n")
+// eventTerminator ends an event whose lines end in LF.
+var eventTerminator = []byte("\n\n")
 
-// indexEnd returns the offset just after the first whole event in b, or -1 if there is none.
-func indexEnd(b []byte) int {
-	lf := bytes.Index(b, eventEnd)
+// eventEndOffset returns the offset just after the first whole event in b, or -1 if there is none.
+func eventEndOffset(b []byte) int {
+	lf := bytes.Index(b, eventTerminator)
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
 	switch {
 	case lf < 0 && crlf < 0:
--- a/internal/httptarget/conn.go
+++ b/internal/httptarget/conn.go
@@ -13,16 +13,16 @@
 // conn is a connection to a target. It carries one exchange at a time.
 type conn struct {
 	net.Conn
-	place
+	endpoint
 	reader *bufio.Reader
-	// idleLimit is how long the target keeps an unused connection open according to its
+	// idleTimeout is how long the target keeps an unused connection open according to its
 	// Keep-Alive header; 0 if it sent none.
-	idleLimit time.Duration
-	idleSince time.Time
+	idleTimeout time.Duration
+	idleSince   time.Time
 }
 
-func newConn(c net.Conn, p place) *conn {
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer), place: p}
+func newConn(c net.Conn, e endpoint) *conn {
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBufferSize), endpoint: e}
 }
 
 // quiet reports whether an unused connection is still open and has no unread bytes, which
@@ -32,8 +32,8 @@
 // expired reports whether a connection has been unused for limit, or so long that the target
 // may be about to close it.
 func (c *conn) expired(now time.Time, limit time.Duration) bool {
-	if c.idleLimit > 0 {
-		limit = min(limit, c.idleLimit*idleShare/100)
+	if c.idleTimeout > 0 {
+		limit = min(limit, c.idleTimeout*maxKeepAlivePercent/100)
 	}
 	return now.Sub(c.idleSince) >= limit
 }
--- a/internal/httptarget/httptarget.go
+++ b/internal/httptarget/httptarget.go
@@ -35,9 +35,9 @@
 )
 
 const (
-	// readBuffer is the size of a connection's read buffer in bytes, enough for the head of
+	// readBufferSize is the size of a connection's read buffer in bytes, enough for the head of
 	// an answer. Large reads of a body bypass the buffer.
-	readBuffer = 4 << 10
+	readBufferSize = 4 << 10
 	// dialTimeout bounds the time to connect. Zones are about a millisecond apart, and the
 	// kernel retransmits a lost SYN only after a second: trying another target is faster.
 	dialTimeout = 400 * time.Millisecond
@@ -47,18 +47,18 @@
 	unackedTimeout = 1500 * time.Millisecond
 	// writeTimeout bounds the time to write a request.
 	writeTimeout = 2 * time.Second
-	// maxIdle is how long an unused connection is kept, unless the target's Keep-Alive
+	// maxIdleTime is how long an unused connection is kept, unless the target's Keep-Alive
 	// header asks for less.
-	maxIdle = 8 * time.Second
-	// idleShare is the percentage of the target's Keep-Alive timeout after which a
-	// connection is not reused, because the target may close it at that moment.
-	idleShare = 70
-	// maxStray is the number of answers to earlier requests that are skipped before a
+	maxIdleTime = 8 * time.Second
+	// maxKeepAlivePercent is the percentage of the target's Keep-Alive timeout after which a
+	// connection is no longer reused, because the target may be about to close it.
+	maxKeepAlivePercent = 70
+	// maxStrayAnswers is the number of answers to earlier requests that are skipped before a
 	// connection is closed.
-	maxStray = 2
-	// asideBody is the size in bytes from which a body is written by another goroutine
+	maxStrayAnswers = 2
+	// asyncBodySize is the size in bytes from which a body is written by another goroutine
 	// while the answer is read: the target may answer before it has read the whole body.
-	asideBody = 4 << 10
+	asyncBodySize = 4 << 10
 )
 
 // Request is a request to send. Head has the request line and the headers, up to and
@@ -93,16 +93,16 @@
 	probes singleflight.Group
 
 	mu   sync.Mutex
-	idle map[place][]*conn
+	idle map[endpoint][]*conn
 
-	dialled, dialFailed, reused, stray, dirty atomic.Int64
+	dialled, dialFailed, reused, strayAnswers, unexpectedBytes atomic.Int64
 }
 
 // New returns a transport that runs its goroutines in g.
 func New(g *group.Group) *Transport {
 	return &Transport{
 		group: g,
-		idle:  map[place][]*conn{},
+		idle:  map[endpoint][]*conn{},
 		dialer: net.Dialer{
 			Timeout:   dialTimeout,
 			KeepAlive: -1,
@@ -115,7 +115,7 @@
 func (t *Transport) Stats() Stats {
 	return Stats{
 		Dialled: t.dialled.Load(), DialFailed: t.dialFailed.Load(), Reused: t.reused.Load(),
-		Stray: t.stray.Load(), Dirty: t.dirty.Load(),
+		Stray: t.strayAnswers.Load(), Dirty: t.unexpectedBytes.Load(),
 	}
 }
 
@@ -123,12 +123,12 @@
 // closed as soon as ctx ends. An error wraps ErrNotSent or ErrBroken. The caller must call
 // Close on the answer.
 func (t *Transport) Send(ctx context.Context, address string, r Request) (*Answer, error) {
-	c, err := t.connect(ctx, place{address, r.Instance})
+	c, err := t.connect(ctx, endpoint{address, r.Instance})
 	if err != nil {
 		return nil, err
 	}
 	a := &Answer{transport: t, conn: c, method: r.Method}
-	a.unwatch = context.AfterFunc(ctx, func() { _ = c.Close() })
+	a.stopCloseOnCancel = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if err := a.write(r); err != nil {
 		a.Close()
 		return nil, errors.Wrapf(ErrBroken, "write to %s: %v", address, err)
@@ -140,75 +140,76 @@
 	return a, nil
 }
 
-// place identifies a process at an address, to which connections belong.
-type place struct{ address, instance string }
+// endpoint identifies a process at an address, to which connections belong.
+type endpoint struct{ address, instance string }
 
-func (t *Transport) connect(ctx context.Context, p place) (*conn, error) {
-	address := p.address
+// connect returns an unused connection, or a new one if there is none.
+func (t *Transport) connect(ctx context.Context, e endpoint) (*conn, error) {
+	address := e.address
 	if err := ctx.Err(); err != nil {
 		return nil, errors.Wrapf(ErrNotSent, "connect to %s: %v", address, err)
 	}
-	if c := t.take(p); c != nil {
+	if c := t.takeIdle(e); c != nil {
 		t.reused.Add(1)
 		return c, nil
 	}
 	raw, err := t.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		t.dialFailed.Add(1)
-		return nil, errors.Wrapf(notSent(err), "connect to %s: %v", address, err)
+		return nil, errors.Wrapf(connectError(err), "connect to %s: %v", address, err)
 	}
 	t.dialled.Add(1)
-	return newConn(raw, p), nil
+	return newConn(raw, e), nil
 }
 
-// notSent returns the exported error for a failure to connect.
-func notSent(err error) error {
+// connectError returns the exported error for a failure to connect.
+func connectError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return ErrNobodyListens
 	}
 	return ErrNotSent
 }
 
-// probeTime bounds the time of a probe. A refusal to connect arrives within a round trip,
+// probeTimeout bounds the time of a probe. A refusal to connect arrives within a round trip,
 // which takes some milliseconds between zones.
-const probeTime = 100 * time.Millisecond
+const probeTimeout = 100 * time.Millisecond
 
 // Ended reports whether the process of a target has exited, which it takes a refused
 // connection to mean. Concurrent calls for the same process share one probe, as when a
 // target breaks off many answers at once. A connection that succeeds is kept for reuse.
 func (t *Transport) Ended(ctx context.Context, address, instance string) bool {
-	p := place{address, instance}
-	ended, _, _ := t.probes.Do(address+" "+instance, func() (any, error) { return t.probe(ctx, p), nil })
+	e := endpoint{address, instance}
+	ended, _, _ := t.probes.Do(address+" "+instance, func() (any, error) { return t.probe(ctx, e), nil })
 	return ended.(bool)
 }
 
-func (t *Transport) probe(ctx context.Context, p place) bool {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTime)
+func (t *Transport) probe(ctx context.Context, e endpoint) bool {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
-	raw, err := t.dialer.DialContext(ctx, "tcp", p.address)
+	raw, err := t.dialer.DialContext(ctx, "tcp", e.address)
 	if err != nil {
 		t.dialFailed.Add(1)
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
 	t.dialled.Add(1)
-	t.put(newConn(raw, p))
+	t.putIdle(newConn(raw, e))
 	return false
 }
 
-// take returns the usable connection that was used last, or nil, and closes unusable ones.
-func (t *Transport) take(p place) *conn {
+// takeIdle returns the usable connection that was used last, or nil, and closes unusable ones.
+func (t *Transport) takeIdle(e endpoint) *conn {
 	now := clock.Now()
 	for {
-		c := t.pop(p)
+		c := t.popIdle(e)
 		if c == nil {
 			return nil
 		}
-		if c.expired(now, maxIdle) {
+		if c.expired(now, maxIdleTime) {
 			_ = c.Close()
 			continue
 		}
 		if !c.quiet() {
-			t.dirty.Add(1)
+			t.unexpectedBytes.Add(1)
 			_ = c.Close()
 			continue
 		}
@@ -216,43 +217,43 @@
 	}
 }
 
-func (t *Transport) pop(p place) *conn {
+func (t *Transport) popIdle(e endpoint) *conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	list := t.idle[p]
+	list := t.idle[e]
 	if len(list) == 0 {
 		return nil
 	}
 	c := list[len(list)-1]
 	list[len(list)-1] = nil
-	t.idle[p] = list[:len(list)-1]
+	t.idle[e] = list[:len(list)-1]
 	return c
 }
 
-func (t *Transport) put(c *conn) {
+func (t *Transport) putIdle(c *conn) {
 	c.idleSince = clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.idle[c.place] = append(t.idle[c.place], c)
+	t.idle[c.endpoint] = append(t.idle[c.endpoint], c)
 }
 
 // Sweep closes expired unused connections. Call it periodically.
 func (t *Transport) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for p, list := range t.idle {
+	for e, list := range t.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if c.expired(now, maxIdle) {
+			if c.expired(now, maxIdleTime) {
 				_ = c.Close()
 				continue
 			}
 			kept = append(kept, c)
 		}
 		clear(list[len(kept):])
-		t.idle[p] = kept
+		t.idle[e] = kept
 		if len(kept) == 0 {
-			delete(t.idle, p)
+			delete(t.idle, e)
 		}
 	}
 }
@@ -274,31 +275,31 @@
 	Status int
 	Header http.Header
 
-	transport *Transport
-	conn      *conn
-	method    string
-	response  *http.Response
-	unwatch   func() bool
-	// writing is closed once a body that another goroutine writes has been written, and
-	// wrote then has the error. It is nil if the request was written synchronously.
-	writing chan struct{}
-	wrote   error
-	whole   bool
+	transport         *Transport
+	conn              *conn
+	method            string
+	response          *http.Response
+	stopCloseOnCancel func() bool
+	// bodyWritten is closed once another goroutine has written the body, and writeErr then
+	// has its error. It is nil if the request was written synchronously.
+	bodyWritten chan struct{}
+	writeErr    error
+	complete    bool
 }
 
 func (a *Answer) write(r Request) error {
 	if err := a.conn.SetWriteDeadline(clock.Deadline(writeTimeout)); err != nil {
 		return err
 	}
-	if len(r.Body) < asideBody {
+	if len(r.Body) < asyncBodySize {
 		_, err := a.conn.Write(append(r.Head, r.Body...))
 		return err
 	}
 	buffers := net.Buffers{r.Head, r.Body}
-	a.writing = make(chan struct{})
+	a.bodyWritten = make(chan struct{})
 	a.transport.group.Go(func() {
-		defer close(a.writing)
-		_, a.wrote = buffers.WriteTo(a.conn.Conn)
+		defer close(a.bodyWritten)
+		_, a.writeErr = buffers.WriteTo(a.conn.Conn)
 	})
 	return nil
 }
@@ -306,7 +307,7 @@
 // readHead reads the head of the answer to r. It skips interim (1xx) answers and answers to
 // earlier requests on the connection.
 func (a *Answer) readHead(r Request) error {
-	for range maxStray + 1 {
+	for range maxStrayAnswers + 1 {
 		res, err := readResponse(a.conn.reader, r.Method)
 		if err != nil {
 			return err
@@ -318,7 +319,7 @@
 			a.Header = res.Header
 			return nil
 		}
-		a.transport.stray.Add(1)
+		a.transport.strayAnswers.Add(1)
 		if res.ContentLength < 0 && res.Close {
 			return errors.Errorf("answer to another request %s has no end before the connection closes", id)
 		}
@@ -356,7 +357,7 @@
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.response.Body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		a.complete = true
 		return n, io.EOF
 	}
 	if err != nil {
@@ -368,35 +369,35 @@
 // Close ends the exchange. The connection is kept for reuse if the whole request has been
 // written, the answer was read to its end and no bytes follow it.
 func (a *Answer) Close() {
-	if !a.unwatch() || !a.reusable() {
+	if !a.stopCloseOnCancel() || !a.reusable() {
 		_ = a.conn.Close()
 		return
 	}
-	a.transport.put(a.conn)
+	a.transport.putIdle(a.conn)
 }
 
 func (a *Answer) reusable() bool {
-	if !a.whole || a.response.Close || a.conn.reader.Buffered() > 0 {
+	if !a.complete || a.response.Close || a.conn.reader.Buffered() > 0 {
 		return false
 	}
 	if a.response.ContentLength < 0 && len(a.response.TransferEncoding) == 0 {
 		return false
 	}
-	if !a.written() {
+	if !a.requestWritten() {
 		return false
 	}
-	a.conn.idleLimit = keepAliveTimeout(a.Header.Get("Keep-Alive"))
+	a.conn.idleTimeout = keepAliveTimeout(a.Header.Get("Keep-Alive"))
 	return a.conn.SetDeadline(time.Time{}) == nil
 }
 
-// written reports whether the whole request has been written.
-func (a *Answer) written() bool {
-	if a.writing == nil {
+// requestWritten reports whether the whole request has been written.
+func (a *Answer) requestWritten() bool {
+	if a.bodyWritten == nil {
 		return true
 	}
 	select {
-	case <-a.writing:
-		return a.wrote == nil
+	case <-a.bodyWritten:
+		return a.writeErr == nil
 	default:
 		return false
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -18,21 +18,21 @@
 // Ledger holds the requests and accounts of one load test. Use New to make one. It is safe
 // for concurrent use.
 type Ledger struct {
-	mu       sync.Mutex
-	requests map[string]*entry
-	pools    map[string]*poolLedger
-	largest  float64
+	mu          sync.Mutex
+	requests    map[string]*entry
+	pools       map[string]*poolLedger
+	largestCost float64
 }
 
 // entry is one request.
 type entry struct {
 	pool    *poolLedger
 	account *account
-	// began is the number of times that a target started the request.
-	began   int
-	cost    float64
-	waiting bool
-	repeat  bool
+	// starts is the number of times that a target started the request.
+	starts     int
+	cost       float64
+	waiting    bool
+	repeatable bool
 	// notRun is set if the caller was told that the request did not run.
 	notRun bool
 }
@@ -42,11 +42,14 @@
 	running  int
 	waiting  int
 	accounts map[string]*account
-	// starved is set if there was a moment since the last sample when no request waited.
-	starved bool
+	// queueEmptied is set if there was a moment since the last sample when no request waited.
+	queueEmptied bool
+	// samples is the number of samples taken.
 	samples int
-	busy    float64
-	idle    float64
+	// busySum and idleSum add up, over all samples, the fraction of the slots that were busy
+	// and the fraction that were idle while requests waited.
+	busySum float64
+	idleSum float64
 }
 
 // account holds the totals of one organisation in one pool.
@@ -54,10 +57,10 @@
 	weight  float64
 	served  float64
 	waiting int
-	// emptied is set if there was a moment since the last sample when none of the
+	// queueEmptied is set if there was a moment since the last sample when none of the
 	// organisation's requests waited.
-	emptied bool
-	series  []point
+	queueEmptied bool
+	series       []point
 }
 
 // point is one sample of an account: the cost served so far, and whether the organisation
@@ -76,7 +79,7 @@
 	for _, o := range s.Organisations {
 		for _, q := range o.Requests {
 			if p := l.pools[q.Pool]; p != nil {
-				p.accounts[o.Name] = &account{weight: o.EffectiveWeight(), emptied: true}
+				p.accounts[o.Name] = &account{weight: o.EffectiveWeight(), queueEmptied: true}
 			}
 		}
 	}
@@ -87,7 +90,7 @@
 func (l *Ledger) Submitted(a scenario.Arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := &entry{repeat: !a.Requests.NotRepeatable}
+	e := &entry{repeatable: !a.Requests.NotRepeatable}
 	l.requests[a.Tag] = e
 	if p := l.pools[a.Requests.Pool]; p != nil {
 		e.pool, e.account, e.waiting = p, p.accounts[a.Organisation], true
@@ -105,10 +108,10 @@
 	e.pool.waiting--
 	e.account.waiting--
 	if e.pool.waiting == 0 {
-		e.pool.starved = true
+		e.pool.queueEmptied = true
 	}
 	if e.account.waiting == 0 {
-		e.account.emptied = true
+		e.account.queueEmptied = true
 	}
 }
 
@@ -129,7 +132,7 @@
 	defer l.mu.Unlock()
 	n := 0
 	for _, e := range l.requests {
-		if e.notRun && e.began > 0 {
+		if e.notRun && e.starts > 0 {
 			n++
 		}
 	}
@@ -144,7 +147,7 @@
 	if e == nil {
 		return
 	}
-	e.began++
+	e.starts++
 	e.stopWaiting()
 	if e.pool != nil {
 		e.pool.running++
@@ -170,7 +173,7 @@
 	}
 	e.account.served += cost
 	e.cost += cost
-	l.largest = max(l.largest, e.cost)
+	l.largestCost = max(l.largestCost, e.cost)
 }
 
 // Ended implements standin.Observer.
@@ -189,7 +192,7 @@
 	defer l.mu.Unlock()
 	n := 0
 	for _, e := range l.requests {
-		if !e.repeat && e.began > 1 {
+		if !e.repeatable && e.starts > 1 {
 			n++
 		}
 	}
@@ -203,14 +206,14 @@
 	for _, p := range l.pools {
 		p.samples++
 		busy := float64(min(p.running, p.slots)) / float64(p.slots)
-		p.busy += busy
-		if p.waiting > 0 && !p.starved {
-			p.idle += 1 - busy
+		p.busySum += busy
+		if p.waiting > 0 && !p.queueEmptied {
+			p.idleSum += 1 - busy
 		}
-		p.starved = p.waiting == 0
+		p.queueEmptied = p.waiting == 0
 		for _, a := range p.accounts {
-			a.series = append(a.series, point{a.served, a.waiting > 0 && !a.emptied})
-			a.emptied = a.waiting == 0
+			a.series = append(a.series, point{a.served, a.waiting > 0 && !a.queueEmptied})
+			a.queueEmptied = a.waiting == 0
 		}
 	}
 }
@@ -244,21 +247,21 @@
 		for i, a := range names {
 			for _, b := range names[:i] {
 				g := pairGap(p.accounts[a], p.accounts[b], func(sample int, size float64) {
-					series = raise(series, sample, size/max(l.largest, 1))
+					series = raiseStep(series, sample, size/max(l.largestCost, 1))
 				})
 				if g.Size > worst.Size {
-					worst = g.between(pool, a, b)
+					worst = g.withOrganisations(pool, a, b)
 				}
 			}
 		}
 	}
-	worst.Size /= max(l.largest, 1)
+	worst.Size /= max(l.largestCost, 1)
 	return worst, series
 }
 
-// raise raises the entry of a series for the time of a sample to size, if it is lower.
-func raise(series []float64, sample int, size float64) []float64 {
-	i := int(seconds(sample) / GapSeriesStep)
+// raiseStep raises the entry of a series that covers a sample to size, if it is lower.
+func raiseStep(series []float64, sample int, size float64) []float64 {
+	i := int(secondsAt(sample) / GapSeriesStep)
 	for len(series) <= i {
 		series = append(series, 0)
 	}
@@ -266,7 +269,9 @@
 	return series
 }
 
-func (g Gap) between(pool, a, b string) Gap {
+// withOrganisations returns the gap that pairGap found between a and b with the names filled
+// in. If a's lead shrank, b is the one ahead and the ends of the period are swapped.
+func (g Gap) withOrganisations(pool, a, b string) Gap {
 	g.Pool, g.Ahead, g.Behind = pool, a, b
 	if g.From > g.To {
 		g.From, g.To, g.Ahead, g.Behind = g.To, g.From, b, a
@@ -275,16 +280,16 @@
 }
 
 // pairGap returns the largest change of a's lead over b while both had requests waiting.
-// From is when the lead was smallest and To when it was largest, whichever came first. each
+// From is when the lead was smallest and To when it was largest, whichever came first. visit
 // is called for every sample with the gap reached by then.
-func pairGap(a, b *account, each func(sample int, size float64)) Gap {
+func pairGap(a, b *account, visit func(sample int, size float64)) Gap {
 	var worst Gap
 	var low, high float64
 	lowAt, highAt := -1, -1
 	for i := range a.series {
 		if !a.series[i].backlogged || !b.series[i].backlogged {
 			lowAt, highAt = -1, -1
-			each(i, 0)
+			visit(i, 0)
 			continue
 		}
 		d := a.series[i].served/a.weight - b.series[i].served/b.weight
@@ -294,15 +299,16 @@
 		if highAt < 0 || d > high {
 			high, highAt = d, i
 		}
-		each(i, high-low)
+		visit(i, high-low)
 		if high-low > worst.Size {
-			worst = Gap{Size: high - low, From: seconds(lowAt), To: seconds(highAt)}
+			worst = Gap{Size: high - low, From: secondsAt(lowAt), To: secondsAt(highAt)}
 		}
 	}
 	return worst
 }
 
-func seconds(samples int) float64 { return float64(samples) * SampleTime.Seconds() }
+// secondsAt returns the time of a sample, in seconds since the start.
+func secondsAt(sample int) float64 { return float64(sample) * SampleTime.Seconds() }
 
 // Use returns the fraction of the time, over all slots, that they were busy, and the fraction
 // that they were idle while requests waited.
@@ -312,8 +318,8 @@
 	slots := 0
 	for _, p := range l.pools {
 		n := float64(p.slots) / float64(max(p.samples, 1))
-		busy += p.busy * n
-		idle += p.idle * n
+		busy += p.busySum * n
+		idle += p.idleSum * n
 		slots += p.slots
 	}
 	return busy / float64(slots), idle / float64(slots)
--- a/internal/request/budget.go
+++ b/internal/request/budget.go
@@ -3,27 +3,28 @@
 import "sync"
 
 const (
-	// earned is the number of retries that each new request adds to the budget.
-	earned = 0.1
-	// reserve is the number of retries in a new budget and the maximum that it can hold.
-	reserve = 20
+	// retriesPerRequest is the number of retries that each new request adds to the budget.
+	retriesPerRequest = 0.1
+	// maxSavedRetries is the number of retries in a new budget and the maximum that it can hold.
+	maxSavedRetries = 20
 )
 
 // Budget limits retries to a fraction of the requests, so that retries cannot double a load
 // that already makes engines fail. Use NewBudget to make one. It is safe for concurrent use.
 type Budget struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// tokens is the number of retries left.
 	tokens float64
 }
 
 // NewBudget returns a full budget.
-func NewBudget() *Budget { return &Budget{tokens: reserve} }
+func NewBudget() *Budget { return &Budget{tokens: maxSavedRetries} }
 
 // Earn adds the share of one new request to the budget.
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+earned, reserve)
+	b.tokens = min(b.tokens+retriesPerRequest, maxSavedRetries)
 }
 
 // Spend takes one retry from the budget. It returns false if none is left.
--- a/internal/request/record.go
+++ b/internal/request/record.go
@@ -51,7 +51,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.entries[id] = r.order.PushBack(&Record{ID: id, Organisation: organisation, Outcome: NotRun})
-	r.trim()
+	r.evict()
 }
 
 // Open marks the request with a reserved id as in progress. Cancel will call cancel. Open
@@ -87,12 +87,12 @@
 	end.used = true
 	e.Value = &end
 	r.bytes += len(end.Body)
-	r.trim()
+	r.evict()
 }
 
-// trim evicts records of requests that are not in progress, oldest first, until the bounds
+// evict evicts records of requests that are not in progress, oldest first, until the bounds
 // are met.
-func (r *Records) trim() {
+func (r *Records) evict() {
 	e := r.order.Front()
 	for e != nil && (r.order.Len() > r.maxCount || r.bytes > r.maxBytes) {
 		next := e.Next()
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -68,14 +68,14 @@
 	RetryResume      Reason = "retry-resume"
 )
 
-// answer is how a refusal for some reason is answered.
-type answer struct {
+// refusalAnswer is the HTTP answer to a request that is refused for some reason.
+type refusalAnswer struct {
 	status int
-	// back is the Retry-After in seconds; 0 means that a retry will not help.
-	back int
+	// retryAfterSeconds is the Retry-After header; 0 means that a retry will not help.
+	retryAfterSeconds int
 }
 
-var answers = map[Reason]answer{
+var refusalAnswers = map[Reason]refusalAnswer{
 	ReasonBadRequest:      {status: http.StatusBadRequest},
 	ReasonTooLarge:        {status: http.StatusRequestEntityTooLarge},
 	ReasonUnauthorized:    {status: http.StatusUnauthorized},
@@ -84,17 +84,17 @@
 	ReasonUnknownPath:     {status: http.StatusNotFound},
 	ReasonUnknownRequest:  {status: http.StatusNotFound},
 	ReasonDuplicate:       {status: http.StatusConflict},
-	ReasonQueueFull:       {status: http.StatusTooManyRequests, back: 2},
-	ReasonProcessFull:     {status: http.StatusServiceUnavailable, back: 2},
-	ReasonRateLimit:       {status: http.StatusTooManyRequests, back: 1},
+	ReasonQueueFull:       {status: http.StatusTooManyRequests, retryAfterSeconds: 2},
+	ReasonProcessFull:     {status: http.StatusServiceUnavailable, retryAfterSeconds: 2},
+	ReasonRateLimit:       {status: http.StatusTooManyRequests, retryAfterSeconds: 1},
 	ReasonDeadline:        {status: http.StatusGatewayTimeout},
 	ReasonCancelled:       {status: statusClientClosed},
 	ReasonDisconnected:    {status: statusClientClosed},
-	ReasonLeaving:         {status: http.StatusServiceUnavailable, back: 1},
-	ReasonNotReady:        {status: http.StatusServiceUnavailable, back: 1},
+	ReasonLeaving:         {status: http.StatusServiceUnavailable, retryAfterSeconds: 1},
+	ReasonNotReady:        {status: http.StatusServiceUnavailable, retryAfterSeconds: 1},
 	ReasonTargetFailed:    {status: http.StatusBadGateway},
-	ReasonTargetRefused:   {status: http.StatusServiceUnavailable, back: 1},
-	ReasonRetryBudget:     {status: http.StatusServiceUnavailable, back: 2},
+	ReasonTargetRefused:   {status: http.StatusServiceUnavailable, retryAfterSeconds: 1},
+	ReasonRetryBudget:     {status: http.StatusServiceUnavailable, retryAfterSeconds: 2},
 	ReasonOtherRouter:     {status: http.StatusTemporaryRedirect},
 	ReasonIncarnationGone: {status: http.StatusGone},
 }
@@ -103,11 +103,11 @@
 const statusClientClosed = 499
 
 // Status returns the HTTP status of a refusal.
-func (r Reason) Status() int { return answers[r].status }
+func (r Reason) Status() int { return refusalAnswers[r].status }
 
 // RetryAfter returns the number of seconds after which to retry, or 0 if a retry will not
 // help.
-func (r Reason) RetryAfter() int { return answers[r].back }
+func (r Reason) RetryAfter() int { return refusalAnswers[r].retryAfterSeconds }
 
 // Reasons returns all reasons for refusing and for retrying, in the order in which the
 // documentation lists them.
