--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -10,9 +10,9 @@
 // than an entry may be missing before it is listed again.
 const keptTime = time.Hour
 
-// RestMost bounds the rest that a target may ask for: a mistaken one must not be without
+// MaxBackoff bounds the rest that a target may ask for: a mistaken one must not be without
 // work for ever.
-const RestMost = 10 * time.Minute
+const MaxBackoff = 10 * time.Minute
 
 // Record is what one incarnation of a target said. A nil record has said nothing.
 type Record struct {
@@ -21,9 +21,9 @@
 	heard   time.Time
 }
 
-// Rest returns until when the target wants nothing, or wanted; zero if it asked for no rest,
+// BackoffUntil returns until when the target wants nothing, or wanted; zero if it asked for no rest,
 // or has taken a request since.
-func (r *Record) Rest() time.Time {
+func (r *Record) BackoffUntil() time.Time {
 	if r == nil {
 		return time.Time{}
 	}
@@ -33,38 +33,38 @@
 // Leaving reports whether the target said that it leaves, which it cannot take back.
 func (r *Record) Leaving() bool { return r != nil && r.leaving }
 
-// Book has the records of many targets. The zero value is empty.
-type Book struct {
+// Records has the records of many targets. The zero value is empty.
+type Records struct {
 	records map[string]*Record
 }
 
 // Find returns the record of an incarnation, nil if it has said nothing.
-func (b *Book) Find(name string) *Record { return b.records[name] }
+func (b *Records) Find(name string) *Record { return b.records[name] }
 
-// Leave notes that an incarnation says that it leaves. It returns its record, and whether
+// SetLeaving notes that an incarnation says that it leaves. It returns its record, and whether
 // that is new.
-func (b *Book) Leave(now time.Time, name string) (*Record, bool) {
+func (b *Records) SetLeaving(now time.Time, name string) (*Record, bool) {
 	r := b.record(now, name)
 	news := !r.leaving
 	r.leaving = true
 	return r, news
 }
 
-// Rest notes that an incarnation wants nothing for a time, of which the latest end holds. It
+// SetBackoff notes that an incarnation wants nothing for a time, of which the latest end holds. It
 // returns its record, and whether it was not resting.
-func (b *Book) Rest(now time.Time, name string, d time.Duration) (*Record, bool) {
+func (b *Records) SetBackoff(now time.Time, name string, d time.Duration) (*Record, bool) {
 	r := b.record(now, name)
 	news := !now.Before(r.rest)
-	if until := now.Add(min(d, RestMost)); until.After(r.rest) {
+	if until := now.Add(min(d, MaxBackoff)); until.After(r.rest) {
 		r.rest = until
 	}
 	return r, news
 }
 
-// EndRest notes that the target has taken a request after its rest.
-func (r *Record) EndRest() { r.rest = time.Time{} }
+// ClearBackoff notes that the target has taken a request after its rest.
+func (r *Record) ClearBackoff() { r.rest = time.Time{} }
 
-func (b *Book) record(now time.Time, name string) *Record {
+func (b *Records) record(now time.Time, name string) *Record {
 	r := b.records[name]
 	if r == nil {
 		r = &Record{}
@@ -79,7 +79,7 @@
 
 // Prune drops the records of incarnations that have said nothing for an hour and are not
 // listed.
-func (b *Book) Prune(now time.Time, listed func(name string) bool) {
+func (b *Records) Prune(now time.Time, listed func(name string) bool) {
 	for name, r := range b.records {
 		if now.Sub(r.heard) >= keptTime && !listed(name) {
 			delete(b.records, name)
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -10,27 +10,27 @@
 
 var start = time.Unix(1000, 0)
 
-// ExampleBook shows that what one incarnation said does not hold for the next.
-func ExampleBook() {
-	var b advice.Book
-	_, news := b.Leave(start, "t@1")
+// ExampleRecords shows that what one incarnation said does not hold for the next.
+func ExampleRecords() {
+	var b advice.Records
+	_, news := b.SetLeaving(start, "t@1")
 	fmt.Println(news, b.Find("t@1").Leaving(), b.Find("t@2").Leaving())
-	_, news = b.Leave(start.Add(time.Second), "t@1")
+	_, news = b.SetLeaving(start.Add(time.Second), "t@1")
 	fmt.Println(news)
 	// Output:
 	// true true false
 	// false
 }
 
-// ExampleBook_Rest shows that the latest end holds.
-func ExampleBook_Rest() {
-	var b advice.Book
-	r, news := b.Rest(start, "t", 3*time.Second)
-	fmt.Println(r.Rest().Sub(start), news)
-	r, news = b.Rest(start.Add(time.Second), "t", time.Second)
-	fmt.Println(r.Rest().Sub(start), news)
-	r, _ = b.Rest(start, "t", 1000*time.Hour)
-	fmt.Println(r.Rest().Sub(start))
+// ExampleRecords_SetBackoff shows that the latest end holds.
+func ExampleRecords_SetBackoff() {
+	var b advice.Records
+	r, news := b.SetBackoff(start, "t", 3*time.Second)
+	fmt.Println(r.BackoffUntil().Sub(start), news)
+	r, news = b.SetBackoff(start.Add(time.Second), "t", time.Second)
+	fmt.Println(r.BackoffUntil().Sub(start), news)
+	r, _ = b.SetBackoff(start, "t", 1000*time.Hour)
+	fmt.Println(r.BackoffUntil().Sub(start))
 	// Output:
 	// 3s true
 	// 3s false
@@ -49,8 +49,8 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var b advice.Book
-			b.Leave(start, "t")
+			var b advice.Records
+			b.SetLeaving(start, "t")
 			b.Prune(start.Add(c.after), func(string) bool { return c.listed })
 			if got := b.Find("t").Leaving(); got != c.kept {
 				t.Errorf("kept %t, want %t", got, c.kept)
--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -20,22 +20,22 @@
 	waiting list.List
 }
 
-// Enter takes in a new connection and returns its place, or nil if its caller is to be turned
+// Enqueue takes in a new connection and returns its place, or nil if its caller is to be turned
 // away at once: the router is short of processor time, the oldest that waits has waited for
 // too long, and this one would for longer.
-func (q *Queue) Enter(now time.Time, short bool) *list.Element {
+func (q *Queue) Enqueue(now time.Time, short bool) *list.Element {
 	if oldest := q.waiting.Front(); short && oldest != nil && now.Sub(oldest.Value.(time.Time)) > lookMost {
 		return nil
 	}
 	return q.waiting.PushBack(now)
 }
 
-// Leave takes out a connection that was closed, whether it was looked at or not.
-func (q *Queue) Leave(place *list.Element) { q.waiting.Remove(place) }
+// Remove takes out a connection that was closed, whether it was looked at or not.
+func (q *Queue) Remove(place *list.Element) { q.waiting.Remove(place) }
 
-// Look takes out a connection that is looked at, and reports whether its caller is to be turned
+// Dequeue takes out a connection that is looked at, and reports whether its caller is to be turned
 // away: the router is short of processor time, and it has waited for too long.
-func (q *Queue) Look(now time.Time, place *list.Element, short bool) (overdue bool) {
+func (q *Queue) Dequeue(now time.Time, place *list.Element, short bool) (overdue bool) {
 	entered := q.waiting.Remove(place).(time.Time)
 	return short && now.Sub(entered) > lookMost
 }
--- a/internal/backlog/backlog_test.go
+++ b/internal/backlog/backlog_test.go
@@ -10,11 +10,11 @@
 func ExampleQueue() {
 	var q backlog.Queue
 	now := time.Unix(1000, 0)
-	first := q.Enter(now, true)
+	first := q.Enqueue(now, true)
 	now = now.Add(100 * time.Millisecond)
-	fmt.Println("a new one may wait, where there is time:", q.Enter(now, false) != nil)
-	fmt.Println("where there is none:", q.Enter(now, true) != nil)
-	fmt.Println("the first is overdue:", q.Look(now, first, true))
+	fmt.Println("a new one may wait, where there is time:", q.Enqueue(now, false) != nil)
+	fmt.Println("where there is none:", q.Enqueue(now, true) != nil)
+	fmt.Println("the first is overdue:", q.Dequeue(now, first, true))
 	// Output:
 	// a new one may wait, where there is time: true
 	// where there is none: false
--- a/internal/balance/advice.go
+++ b/internal/balance/advice.go
@@ -13,7 +13,7 @@
 	if t.at == nil {
 		return false
 	}
-	record, news := s.advice.Leave(now, t.at.name)
+	record, news := s.advice.SetLeaving(now, t.at.name)
 	s.said(t.at, record)
 	if news {
 		s.refuseUnservable(now)
@@ -27,8 +27,8 @@
 	if t.at == nil {
 		return false
 	}
-	spread := time.Duration(s.random.Int64N(int64(min(d, advice.RestMost))*restSpread/100 + 1))
-	record, news := s.advice.Rest(now, t.at.name, d+spread)
+	spread := time.Duration(s.random.Int64N(int64(min(d, advice.MaxBackoff))*restSpread/100 + 1))
+	record, news := s.advice.SetBackoff(now, t.at.name, d+spread)
 	s.said(t.at, record)
 	t.at.trial = nil
 	if news {
@@ -63,7 +63,7 @@
 )
 
 // resting reports whether the target wants nothing now.
-func (t *target) resting(now time.Time) bool { return now.Before(t.said.Rest()) }
+func (t *target) resting(now time.Time) bool { return now.Before(t.said.BackoffUntil()) }
 
 // unrested reports whether a target rests, or has taken no request since and has one on
 // trial: a target that is still full would turn away all that waited for it.
@@ -75,7 +75,7 @@
 func (t *target) tried(k *Ticket) {
 	if t.trial == k {
 		t.trial = nil
-		t.said.EndRest()
+		t.said.ClearBackoff()
 	}
 }
 
@@ -90,7 +90,7 @@
 		if !to.resting(now) {
 			return time.Time{}, false
 		}
-		if end := to.said.Rest(); first.IsZero() || end.Before(first) {
+		if end := to.said.BackoffUntil(); first.IsZero() || end.Before(first) {
 			first = end
 		}
 	}
@@ -125,7 +125,7 @@
 	if to.resting(now) {
 		s.against.Resting++
 	}
-	if !to.said.Rest().IsZero() {
+	if !to.said.BackoffUntil().IsZero() {
 		to.trial = t
 	}
 }
@@ -149,7 +149,7 @@
 	if doubled < 0 {
 		return
 	}
-	record, _ := s.advice.Rest(now, to.name, min(firstRest<<min(doubled, 8), lastRest))
+	record, _ := s.advice.SetBackoff(now, to.name, min(firstRest<<min(doubled, 8), lastRest))
 	s.said(to, record)
 	s.paused++
 	s.refuseUnservable(now)
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -155,7 +155,7 @@
 	running, serving int
 	level            level
 	budget           budget
-	throttle         *throttle.Control
+	throttle         *throttle.Controller
 	// good, suspect, near and missing are room for choosing a target.
 	good, suspect, near []*target
 	missing             []int
@@ -167,7 +167,7 @@
 	// none. heldCold is how often one was passed over.
 	coldPart func(now time.Time, target string, r coldstart.Rate) int
 	heldCold int64
-	advice   advice.Book
+	advice   advice.Records
 	against  Against
 	// paused counts the rests that no target asked for.
 	paused int64
@@ -280,7 +280,7 @@
 	t.at = to
 	t.sent = now
 	t.free = !t.Engine && s.loadOf(now, to).Running < to.Slots
-	t.load = view.Load{Unread: p.read, Running: 1, Memory: t.private()}
+	t.load = view.Load{PendingTokens: p.read, Running: 1, Memory: t.private()}
 	t.work = p.work
 	to.own = to.own.Plus(t.load)
 	to.waiting = append(to.waiting, t)
@@ -290,12 +290,12 @@
 	s.heed(now, t, to)
 	if t.Engine {
 		s.shares.begun(now, t.Organisation, t.tokens())
-		s.throttle.Sent(t.Organisation, t.offer())
+		s.throttle.RecordSent(t.Organisation, t.offer())
 	}
 	if s.notify != nil && s.notices.take(now, p.read, s.serving+1) {
 		s.notify(to.name, to.own, t.load)
 	}
-	d := Decision{Target: to.Target, Waited: now.Sub(t.Arrived), Unread: s.loadOf(now, to).Unread, Miss: p.read}
+	d := Decision{Target: to.Target, Waited: now.Sub(t.Arrived), Unread: s.loadOf(now, to).PendingTokens, Miss: p.read}
 	if p.source != nil {
 		d.Source, d.Fetched = p.source.Target, p.fetched
 	}
@@ -317,8 +317,8 @@
 	if t.Engine && t.Stream {
 		s.pace(t.Service).Observe(t.work, now.Sub(t.sent))
 	}
-	t.at.own.Unread -= t.load.Unread
-	t.load.Unread = 0
+	t.at.own.PendingTokens -= t.load.PendingTokens
+	t.load.PendingTokens = 0
 	t.at.forget(t)
 	s.dispatch(now)
 }
@@ -346,7 +346,7 @@
 		to.learn(now.Sub(t.sent))
 	}
 	if how == Answered && t.Stream && t.Output > 0 {
-		s.throttle.Learn(int(t.Pieces.Load()), t.Output)
+		s.throttle.ObservePieces(int(t.Pieces.Load()), t.Output)
 	}
 	if how == Refused || how == Unreachable {
 		s.shares.begun(now, t.Organisation, -t.tokens())
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -361,7 +361,7 @@
 // ten times its share, beside what it tells of "other".
 func reportOver(other view.Usage) view.Report {
 	return view.Report{Usage: map[string]view.Usage{
-		"large": {Asked: 20 * tokensPerSecond, Begun: 10 * tokensPerSecond}, "heavy": {Asked: 20 * tokensPerSecond}, "other": other,
+		"large": {Demand: 20 * tokensPerSecond, Started: 10 * tokensPerSecond}, "heavy": {Demand: 20 * tokensPerSecond}, "other": other,
 	}}
 }
 
@@ -378,7 +378,7 @@
 		} {
 			w := newWorld(1)
 			w.SetReportPeriod(c.period)
-			w.Heard(w.now, "r", reportOver(view.Usage{Asked: 1, Begun: 1, Waiting: 1}))
+			w.Heard(w.now, "r", reportOver(view.Usage{Demand: 1, Started: 1, Waiting: 1}))
 			w.pass(c.age)
 			Expect(w.arrive(w.prompt("large", "s", 1000)) == nil).To(Equal(c.counts), name)
 		}
@@ -387,7 +387,7 @@
 	It("hold back only those of organisations that had more than their share and half as much again", func() {
 		for had, waits := range map[float64]bool{8: false, 6: true} {
 			w := newWorld(1)
-			w.Heard(w.now, "r", reportOver(view.Usage{Asked: had * tokensPerSecond, Begun: had * tokensPerSecond, Waiting: 1}))
+			w.Heard(w.now, "r", reportOver(view.Usage{Demand: had * tokensPerSecond, Started: had * tokensPerSecond, Waiting: 1}))
 			// What is too old is looked for once in 20 ms.
 			w.pass(25 * time.Millisecond)
 			Expect(w.arrive(w.prompt("large", "s", 1000)) == nil).To(Equal(waits), "other organisation had %g, large 10", had)
@@ -396,7 +396,7 @@
 
 	It("hold back none of an organisation within its share", func() {
 		w := newWorld(1)
-		w.Heard(w.now, "r", reportOver(view.Usage{Asked: 1, Begun: 1, Waiting: 1}))
+		w.Heard(w.now, "r", reportOver(view.Usage{Demand: 1, Started: 1, Waiting: 1}))
 		t := w.prompt("small", "s", 1000)
 		Expect(w.arrive(t)).NotTo(BeNil())
 		w.serve(t)
--- a/internal/balance/bench_test.go
+++ b/internal/balance/bench_test.go
@@ -21,10 +21,10 @@
 				for r := range routers {
 					report := view.Report{Loads: map[string]view.Load{}, Usage: map[string]view.Usage{}}
 					for i := range 60 {
-						report.Loads[fmt.Sprint("e", i)] = view.Load{Unread: 200, Running: 1}
+						report.Loads[fmt.Sprint("e", i)] = view.Load{PendingTokens: 200, Running: 1}
 					}
 					for i := range 30 {
-						report.Usage[fmt.Sprint("o", i)] = view.Usage{Asked: 1000, Begun: 1000}
+						report.Usage[fmt.Sprint("o", i)] = view.Usage{Demand: 1000, Started: 1000}
 					}
 					w.Heard(w.now, fmt.Sprint("r", r), report)
 				}
--- a/internal/balance/box_test.go
+++ b/internal/balance/box_test.go
@@ -289,9 +289,9 @@
 	a := b.kernel[0]
 	b.kernel = b.kernel[1:]
 	cost, refuse := time.Duration(0), func() {}
-	place := b.backlog.Enter(b.now, b.short())
+	place := b.backlog.Enqueue(b.now, b.short())
 	if place != nil && b.gates != nil && !b.reads(a.kind) {
-		b.backlog.Leave(place)
+		b.backlog.Remove(place)
 		place = nil
 	}
 	if place == nil {
@@ -313,7 +313,7 @@
 
 // look lets the router look at a connection for the first time.
 func (b *box) look(place *list.Element, a arrival) {
-	if b.backlog.Look(b.now, place, b.short()) {
+	if b.backlog.Dequeue(b.now, place, b.short()) {
 		b.first(earlyCost, a.refused)
 		return
 	}
@@ -321,7 +321,7 @@
 }
 
 // short reports whether the router is short of processor time.
-func (b *box) short() bool { return b.throttle.Coalesce() > 0 }
+func (b *box) short() bool { return b.throttle.CoalesceLevel() > 0 }
 
 // first lets the processor do something before what it has to do already.
 func (b *box) first(cost time.Duration, do func()) {
@@ -381,11 +381,11 @@
 
 // reads reports whether the router reads a request.
 func (b *box) reads(k kind) bool {
-	g, o := b.gates["o"], throttle.Offer{Input: k.input, Output: k.output}
-	return g == nil || g.Crowds(o) == "" && g.Admit(o) == ""
+	g, o := b.gates["o"], throttle.RequestSize{Input: k.input, Output: k.output}
+	return g == nil || g.Check(o) == "" && g.Admit(o) == ""
 }
 
 // pause is for how long the router lets events of a stream come together.
 func (b *box) pause() time.Duration {
-	return time.Duration(b.throttle.Coalesce() * coalesceMost * float64(time.Millisecond))
+	return time.Duration(b.throttle.CoalesceLevel() * coalesceMost * float64(time.Millisecond))
 }
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -72,9 +72,9 @@
 	var lowest time.Duration
 	for i, c := range candidates {
 		p := k.placeAt(c, s.missing[i], own)
-		p.work = pace.Work{Ahead: s.ahead(now, c, model), Own: p.read}
+		p.work = pace.Work{Ahead: s.ahead(now, c, model), Uncached: p.read}
 		p.first = model.Predict(p.work)
-		p.safe = p.first + time.Duration(model.Error()*float64(p.first))
+		p.safe = p.first + time.Duration(model.RelativeError()*float64(p.first))
 		away := c != k.home && p.read+p.fetched > own
 		if over && away || !s.fits(now, c, t) || !r.holds(p, model) {
 			continue
@@ -88,7 +88,7 @@
 
 // price returns what sending a request to a place counts, as a time.
 func (s *State) price(now time.Time, p place, home bool, r room, m *pace.Model) time.Duration {
-	price := p.first + m.Reading(p.read*rereadPrice/100+p.fetched*fetchPrice/100)
+	price := p.first + m.PrefillTime(p.read*rereadPrice/100+p.fetched*fetchPrice/100)
 	price += time.Duration(s.loadOf(now, p.target).Running) * slotPrice
 	if p.Zone != s.zone {
 		price += zonePrice
@@ -119,7 +119,7 @@
 	k := keepers{home: s.home(t, candidates)}
 	s.missing = s.missing[:0]
 	for _, c := range candidates {
-		missing := c.cache.Missing(now, t.Parts, t.Input)
+		missing := c.cache.UncachedTokens(now, t.Parts, t.Input)
 		s.missing = append(s.missing, missing)
 		if k.best == nil || missing < k.missing {
 			k.best, k.missing = c, missing
@@ -250,7 +250,7 @@
 	var bestWeight uint64
 	hash := rendezvous.Hash(key)
 	for _, c := range targets {
-		if w := rendezvous.WeightOf(hash, c.hash); best == nil || w > bestWeight {
+		if w := rendezvous.WeightFromHashes(hash, c.hash); best == nil || w > bestWeight {
 			best, bestWeight = c, w
 		}
 	}
--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -43,7 +43,7 @@
 	if !ok {
 		return coldstart.Rate{}, 0
 	}
-	return coldstart.Rate{PerSecond: d.ColdRate, Most: d.ColdRate*max(s.limits.ColdOver, 1) + max(s.limits.ColdSlack, 0)}, d.ColdTime
+	return coldstart.Rate{PerSecond: d.ColdRate, MaxPerSecond: d.ColdRate*max(s.limits.ColdOver, 1) + max(s.limits.ColdSlack, 0)}, d.ColdTime
 }
 
 // cooled notes until when a target may be cold: as long as its entry says, and where its
--- a/internal/balance/gate_test.go
+++ b/internal/balance/gate_test.go
@@ -29,7 +29,7 @@
 	var gates map[string]*throttle.Gate
 	for tick := range ticks {
 		for i := range perTick {
-			if g := gates["o"]; g != nil && (g.Crowds(throttle.Offer{Input: 10}) != "" || g.Admit(throttle.Offer{Input: 10}) != "") {
+			if g := gates["o"]; g != nil && (g.Check(throttle.RequestSize{Input: 10}) != "" || g.Admit(throttle.RequestSize{Input: 10}) != "") {
 				continue
 			}
 			read++
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -48,7 +48,7 @@
 	s.Arrive(now, k)
 	old := s.alive("e@1")
 	old.note(now, Unreachable)
-	s.Heard(now, "r", view.Report{Loads: map[string]view.Load{"e@1": {Running: 7}}, Kept: map[string][]string{"e@1": {"other"}}})
+	s.Heard(now, "r", view.Report{Loads: map[string]view.Load{"e@1": {Running: 7}}, SharedParts: map[string][]string{"e@1": {"other"}}})
 	if got := s.loadOf(now, old); got.Running != 8 || !old.suspected(now) {
 		t.Fatalf("load %+v before, suspected %v", got, old.suspected(now))
 	}
@@ -58,12 +58,12 @@
 	if fresh == nil || s.alive("e@1") != nil || lost != 1 {
 		t.Fatalf("%v and %v alive, %d told that theirs is over", s.alive("e@1"), fresh, lost)
 	}
-	s.Heard(now, "late", view.Report{Loads: map[string]view.Load{"e@1": {Running: 5}}, Kept: map[string][]string{"e@1": {"shared"}}})
+	s.Heard(now, "late", view.Report{Loads: map[string]view.Load{"e@1": {Running: 5}}, SharedParts: map[string][]string{"e@1": {"shared"}}})
 	s.Ended(now, k, Failed)
 	if got := s.loadOf(now, fresh); got != (view.Load{}) || fresh.suspected(now) || fresh.failures > 0 {
 		t.Errorf("load %+v of a new life, suspected %v", got, fresh.suspected(now))
 	}
-	if got := fresh.cache.Missing(now, k.Parts, k.Input); got != k.Input {
+	if got := fresh.cache.UncachedTokens(now, k.Parts, k.Input); got != k.Input {
 		t.Errorf("%d of %d tokens missing at a new life", got, k.Input)
 	}
 	if r := s.Report(now); len(r.Loads) > 0 {
--- a/internal/balance/loop.go
+++ b/internal/balance/loop.go
@@ -109,8 +109,8 @@
 			now := clock.Now()
 			l.state.Tick(now)
 			l.meter.look(now, l.state)
-			l.busy.Store(math.Float64bits(l.state.throttle.Busy()))
-			l.coalesce.Store(math.Float64bits(l.state.throttle.Coalesce()))
+			l.busy.Store(math.Float64bits(l.state.throttle.CPUUtilisation()))
+			l.coalesce.Store(math.Float64bits(l.state.throttle.CoalesceLevel()))
 			l.publish(l.state.gatesAt(now))
 		}
 	}
@@ -146,16 +146,16 @@
 
 // Crowded returns why another request of an organisation to engines is to be
 // refused unread, or "" if it is to be read. Any goroutine may call it.
-func (l *Loop) Crowded(organisation string, o throttle.Offer) Reason {
+func (l *Loop) Crowded(organisation string, o throttle.RequestSize) Reason {
 	if g := l.gate(organisation); g != nil {
-		return Reason(g.Crowds(o))
+		return Reason(g.Check(o))
 	}
 	return ""
 }
 
 // Admit lets a request of an organisation to engines in, or returns why it is to be
 // refused. Any goroutine may call it, once a request.
-func (l *Loop) Admit(organisation string, o throttle.Offer) Reason {
+func (l *Loop) Admit(organisation string, o throttle.RequestSize) Reason {
 	if g := l.gate(organisation); g != nil {
 		return Reason(g.Admit(o))
 	}
--- a/internal/balance/peers.go
+++ b/internal/balance/peers.go
@@ -54,29 +54,29 @@
 func (s *State) SetOthers(running, serving int) { s.running, s.serving = running, serving }
 
 // routers returns the number of routers in the fleet.
-func (s *State) routers() int { return max(s.running, s.others.Routers()) + 1 }
+func (s *State) routers() int { return max(s.running, s.others.RouterCount()) + 1 }
 
 // SetReportPeriod says how much time is between a router's reports.
 func (s *State) SetReportPeriod(d time.Duration) { s.others.SetPeriod(d) }
 
 // Heard takes in a report of another router.
 func (s *State) Heard(now time.Time, router string, r view.Report) {
-	s.others.Heard(now, router, r)
-	for id, parts := range r.Kept {
+	s.others.UpdateReport(now, router, r)
+	for id, parts := range r.SharedParts {
 		if t := s.alive(id); t != nil {
-			t.cache.Heard(now, parts)
+			t.cache.AddRemote(now, parts)
 		}
 	}
 	s.dispatch(now)
 }
 
 // Forget takes out all that another router reported.
-func (s *State) Forget(now time.Time, router string) { s.others.Forget(now, router) }
+func (s *State) Forget(now time.Time, router string) { s.others.Remove(now, router) }
 
 // HeardLoad takes in what another router's requests now put on a target; it
 // replaces what the router's last report said of it.
 func (s *State) HeardLoad(now time.Time, router, target string, l view.Load) {
-	s.others.HeardLoad(now, router, target, l)
+	s.others.UpdateLoad(now, router, target, l)
 }
 
 // AddLoad takes in what a request of another router, or of one among those whose
@@ -88,21 +88,21 @@
 // Report returns what to tell the other routers; of what targets keep, it tells
 // what no report told before.
 func (s *State) Report(now time.Time) view.Report {
-	r := view.Report{Loads: map[string]view.Load{}, Usage: map[string]view.Usage{}, Kept: map[string][]string{}}
+	r := view.Report{Loads: map[string]view.Load{}, Usage: map[string]view.Usage{}, SharedParts: map[string][]string{}}
 	for _, t := range s.targets {
 		if t.own.Running > 0 {
 			r.Loads[t.name] = t.own
 		}
-		if parts := t.cache.Untold(); len(parts) > 0 {
-			r.Kept[t.name] = parts
+		if parts := t.cache.TakeAnnouncements(); len(parts) > 0 {
+			r.SharedParts[t.name] = parts
 		}
 	}
 	waiting := s.waitingOf()
 	for name := range s.shares.counts {
 		c := s.shares.of(now, name)
 		if c.asked >= 1 || c.begun >= 1 {
-			u := view.Usage{Asked: c.asked, Begun: c.begun, Waiting: waiting[name]}
-			u.Waiting += s.throttle.Refused(name)
+			u := view.Usage{Demand: c.asked, Started: c.begun, Waiting: waiting[name]}
+			u.Waiting += s.throttle.RejectedLastTick(name)
 			r.Usage[name] = u
 			continue
 		}
--- a/internal/balance/queue.go
+++ b/internal/balance/queue.go
@@ -24,13 +24,13 @@
 	if n < maxWaitingOne {
 		return false
 	}
-	s.throttle.Crowded(t.Organisation)
+	s.throttle.RecordQueueFull(t.Organisation)
 	return true
 }
 
 // SetBusy notes which part of its cores the router used lately.
 func (s *State) SetBusy(now time.Time, part, cores float64) {
-	s.throttle.SetBusy(now, part, cores, s.account(now))
+	s.throttle.SetCPUUtilisation(now, part, cores, s.account(now))
 }
 
 // Throttles returns which organisations the router throttled since the last call.
@@ -42,9 +42,9 @@
 }
 
 // account returns what tells an organisation's account.
-func (s *State) account(now time.Time) func(organisation string) throttle.Account {
-	return func(organisation string) throttle.Account {
-		return throttle.Account{Had: s.hadOf(now, organisation), Level: s.levelAt(now), Least: s.leastWaiting(now)}
+func (s *State) account(now time.Time) func(organisation string) throttle.ShareStatus {
+	return func(organisation string) throttle.ShareStatus {
+		return throttle.ShareStatus{Served: s.hadOf(now, organisation), FairShare: s.levelAt(now), LeastServedWaiting: s.leastWaiting(now)}
 	}
 }
 
@@ -80,9 +80,9 @@
 	for name := range s.waitingOf() {
 		least = min(least, s.hadOf(now, name))
 	}
-	s.others.Organisations(now, func(name string, u view.Usage) {
+	s.others.EachOrganisation(now, func(name string, u view.Usage) {
 		if u.Waiting > 0 {
-			least = min(least, (s.shares.of(now, name).begun+u.Begun)*farLead)
+			least = min(least, (s.shares.of(now, name).begun+u.Started)*farLead)
 		}
 	})
 	return least
--- a/internal/balance/random_test.go
+++ b/internal/balance/random_test.go
@@ -134,14 +134,14 @@
 		},
 		"hear": func(t *rapid.T) {
 			m.Heard(m.now, fmt.Sprint("r", rapid.IntRange(0, 2).Draw(t, "router")), view.Report{
-				Loads: map[string]view.Load{"e1": {Unread: rapid.IntRange(0, 20_000).Draw(t, "unread"), Running: 1}},
-				Usage: map[string]view.Usage{"o1": {Asked: 1000, Begun: 1000, Waiting: rapid.IntRange(0, 3).Draw(t, "waiting")}},
+				Loads: map[string]view.Load{"e1": {PendingTokens: rapid.IntRange(0, 20_000).Draw(t, "unread"), Running: 1}},
+				Usage: map[string]view.Usage{"o1": {Demand: 1000, Started: 1000, Waiting: rapid.IntRange(0, 3).Draw(t, "waiting")}},
 			})
 		},
 		"": func(t *rapid.T) {
 			m.collect(t)
 			for id, l := range m.Report(m.now).Loads {
-				if l.Unread < 0 || l.Memory < 0 || l.Running <= 0 {
+				if l.PendingTokens < 0 || l.Memory < 0 || l.Running <= 0 {
 					t.Fatalf("load of %s is %+v", id, l)
 				}
 			}
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -60,7 +60,7 @@
 	if r.timely && p.safe <= r.left {
 		return true
 	}
-	return m.Reading(p.work.Ahead)+min(m.Reading(p.read), r.backlog/2) <= r.backlog
+	return m.PrefillTime(p.work.Ahead)+min(m.PrefillTime(p.read), r.backlog/2) <= r.backlog
 }
 
 // pace returns what is known of the engines of a service.
@@ -79,11 +79,11 @@
 // part of the time.
 func (s *State) ahead(now time.Time, c *target, m *pace.Model) int {
 	load, told := s.others.Load(now, c.name)
-	own, others := float64(c.own.Unread), float64(load.Unread)
+	own, others := float64(c.own.PendingTokens), float64(load.PendingTokens)
 	if own+others <= 0 {
 		return 0
 	}
-	perSecond := float64(time.Second) / float64(m.Reading(1))
+	perSecond := float64(time.Second) / float64(m.PrefillTime(1))
 	ownShare := own / (own + others)
 	if len(c.waiting) > 0 {
 		first := c.waiting[0]
@@ -92,7 +92,7 @@
 			since = c.progress
 		}
 		read := now.Sub(since).Seconds() * perSecond * ownShare
-		own -= min(read, float64(first.load.Unread))
+		own -= min(read, float64(first.load.PendingTokens))
 	}
 	others -= min(now.Sub(told).Seconds()*perSecond*(1-ownShare), others)
 	return int(own + others)
--- a/internal/balance/shares.go
+++ b/internal/balance/shares.go
@@ -34,7 +34,7 @@
 	if d <= 0 {
 		return
 	}
-	f := view.Decay(d, window)
+	f := view.DecayFactor(d, window)
 	c.asked *= f
 	c.begun *= f
 	c.at = now
@@ -61,7 +61,7 @@
 
 // hadOf returns what an organisation got of all routers.
 func (s *State) hadOf(now time.Time, organisation string) float64 {
-	return s.shares.of(now, organisation).begun + s.others.Usage(now, organisation).Begun
+	return s.shares.of(now, organisation).begun + s.others.Usage(now, organisation).Started
 }
 
 // excess returns how many times its share of what the engines produce, as
@@ -94,11 +94,11 @@
 	}
 	var asked []float64
 	for name := range s.shares.counts {
-		asked = append(asked, s.shares.of(now, name).asked+s.others.Usage(now, name).Asked)
+		asked = append(asked, s.shares.of(now, name).asked+s.others.Usage(now, name).Demand)
 	}
-	s.others.Organisations(now, func(name string, u view.Usage) {
+	s.others.EachOrganisation(now, func(name string, u view.Usage) {
 		if s.shares.counts[name] == nil {
-			asked = append(asked, u.Asked)
+			asked = append(asked, u.Demand)
 		}
 	})
 	// A constant rate decays to rate times the time constant.
--- a/internal/balance/ticket.go
+++ b/internal/balance/ticket.go
@@ -95,8 +95,8 @@
 	// Resting means that all targets that could take the request asked for a rest.
 	Resting Reason = "targets-resting"
 	// Crowded and Busy are for requests that are refused unread.
-	Crowded = Reason(throttle.Crowded)
-	Busy    = Reason(throttle.Busy)
+	Crowded = Reason(throttle.QueueFull)
+	Busy    = Reason(throttle.RouterBusy)
 )
 
 // Result is how an exchange with a target ended.
@@ -125,7 +125,9 @@
 	return t.offer().Tokens()
 }
 
-func (t *Ticket) offer() throttle.Offer { return throttle.Offer{Input: t.Input, Output: t.Output} }
+func (t *Ticket) offer() throttle.RequestSize {
+	return throttle.RequestSize{Input: t.Input, Output: t.Output}
+}
 
 // private returns the tokens in an engine's memory that the request shares
 // with no other.
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -35,18 +35,18 @@
 type Rate struct {
 	// PerSecond is the number of requests a second, 0 for a target that is never cold.
 	PerSecond float64
-	// Most is the number that may arrive in any second at most.
-	Most float64
+	// MaxPerSecond is the number that may arrive in any second at most.
+	MaxPerSecond float64
 }
 
-// Part returns how many requests a second the router may send to a cold target that ranks
+// SendLimit returns how many requests a second the router may send to a cold target that ranks
 // rank'th for it, from 0 on, of so many. A target gets one at least: it would stay unused
 // otherwise.
-func (r Rate) Part(rank, routers int) int {
+func (r Rate) SendLimit(rank, routers int) int {
 	if r.PerSecond <= 0 {
 		return 0
 	}
-	all := int(max(min(r.PerSecond, r.Most/viewsMost), 1))
+	all := int(max(min(r.PerSecond, r.MaxPerSecond/viewsMost), 1))
 	senders := min(sendersMost, routers, all)
 	if rank >= senders {
 		return 0
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -12,11 +12,11 @@
 
 // ExampleRate shows how many routers send how much to a cold target.
 func ExampleRate() {
-	r := coldstart.Rate{PerSecond: 9.8, Most: 19.7}
-	fmt.Println(r.Part(0, 91), r.Part(1, 91), r.Part(2, 91), r.Part(3, 91))
-	fmt.Println(r.Part(0, 2), r.Part(1, 2))
-	fmt.Println(coldstart.Rate{PerSecond: 0.5, Most: 5}.Part(0, 8))
-	fmt.Println(coldstart.Rate{}.Part(0, 8))
+	r := coldstart.Rate{PerSecond: 9.8, MaxPerSecond: 19.7}
+	fmt.Println(r.SendLimit(0, 91), r.SendLimit(1, 91), r.SendLimit(2, 91), r.SendLimit(3, 91))
+	fmt.Println(r.SendLimit(0, 2), r.SendLimit(1, 2))
+	fmt.Println(coldstart.Rate{PerSecond: 0.5, MaxPerSecond: 5}.SendLimit(0, 8))
+	fmt.Println(coldstart.Rate{}.SendLimit(0, 8))
 	// Output:
 	// 2 2 2 0
 	// 3 3
@@ -74,7 +74,7 @@
 }
 
 func TestSenders(t *testing.T) {
-	rate := coldstart.Rate{PerSecond: 9.8, Most: 19.7}
+	rate := coldstart.Rate{PerSecond: 9.8, MaxPerSecond: 19.7}
 	cases := map[string]struct {
 		fleet fleet
 		after time.Duration
@@ -91,7 +91,7 @@
 			for _, target := range []string{"a", "b", "c"} {
 				sum := 0
 				for _, r := range routers(90) {
-					part := coldstart.NewSenders(start, c.fleet, r.ID).Part(start.Add(c.after), target, rate)
+					part := coldstart.NewSenders(start, c.fleet, r.ID).SendLimit(start.Add(c.after), target, rate)
 					if part > 0 && r.Capacity < 0.8 {
 						t.Errorf("%s is small and may send", r.ID)
 					}
@@ -105,15 +105,15 @@
 	}
 }
 
-// BenchmarkPart says what it takes to find out how much may be sent to a cold target.
-func BenchmarkPart(b *testing.B) {
+// BenchmarkSendLimit says what it takes to find out how much may be sent to a cold target.
+func BenchmarkSendLimit(b *testing.B) {
 	for name, n := range map[string]int{"91 routers": 91, "630": 630} {
 		b.Run(name, func(b *testing.B) {
 			s := coldstart.NewSenders(start, fleet{routers: routers(n), majority: true}, "r0")
 			now := start.Add(time.Minute)
 			b.ReportAllocs()
 			for b.Loop() {
-				s.Part(now, "target", coldstart.Rate{PerSecond: 9.8, Most: 19.7})
+				s.SendLimit(now, "target", coldstart.Rate{PerSecond: 9.8, MaxPerSecond: 19.7})
 			}
 		})
 	}
@@ -123,11 +123,11 @@
 	f := fleet{routers: routers(1), majority: true}
 	s := coldstart.NewSenders(start, f, "r0")
 	now := start.Add(time.Minute)
-	if s.Part(now, "a", coldstart.Rate{PerSecond: 5, Most: 12}) == 0 {
+	if s.SendLimit(now, "a", coldstart.Rate{PerSecond: 5, MaxPerSecond: 12}) == 0 {
 		t.Error("the only router may not send")
 	}
 	s.Join(now)
-	if s.Part(now.Add(time.Second), "a", coldstart.Rate{PerSecond: 5, Most: 12}) > 0 {
+	if s.SendLimit(now.Add(time.Second), "a", coldstart.Rate{PerSecond: 5, MaxPerSecond: 12}) > 0 {
 		t.Error("may send a second after its box was suspended")
 	}
 }
--- a/internal/coldstart/senders.go
+++ b/internal/coldstart/senders.go
@@ -50,9 +50,9 @@
 // Join notes that the router has just come, or come back from a suspension.
 func (s *Senders) Join(now time.Time) { s.joined = now }
 
-// Part returns how many requests the router may send to a cold target in a second: the senders
+// SendLimit returns how many requests the router may send to a cold target in a second: the senders
 // are those that rank first for the target.
-func (s *Senders) Part(now time.Time, target string, r Rate) int {
+func (s *Senders) SendLimit(now time.Time, target string, r Rate) int {
 	if now.Sub(s.joined) < joinTime {
 		return 0
 	}
@@ -63,13 +63,13 @@
 		return 0
 	}
 	hash := rendezvous.Hash(target)
-	own, before := rendezvous.WeightOf(hash, s.own), 0
+	own, before := rendezvous.WeightFromHashes(hash, s.own), 0
 	for _, other := range s.others {
-		if rendezvous.WeightOf(hash, other) > own {
+		if rendezvous.WeightFromHashes(hash, other) > own {
 			before++
 		}
 	}
-	return r.Part(before, len(s.others)+1)
+	return r.SendLimit(before, len(s.others)+1)
 }
 
 // look looks who may be a sender.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -75,7 +75,7 @@
 // run is a request in progress through this router.
 type run struct {
 	owner  member.Member
-	use    place.Use
+	use    place.Allocation
 	remote bool
 	// chosen is set where a slot was granted for one organisation and this
 	// router chose another: then it is charged here and not by the owner.
@@ -242,7 +242,7 @@
 		return nil
 	}
 	if end.Failed {
-		s.slots.Broken(u.Engine)
+		s.slots.MarkUnreachable(u.Engine)
 	}
 	p := s.pools[u.Pool]
 	cost := p.settle(end, now.Sub(u.Since))
@@ -257,12 +257,12 @@
 
 // Loaded takes in an engine's own report of its load.
 func (s *State) Loaded(engine string, load port.EngineLoad, now time.Time) {
-	s.slots.Answered(engine, load, now)
+	s.slots.RecordLoad(engine, load, now)
 	s.dispatchAll(now)
 }
 
 // Unreachable notes that an engine did not answer.
-func (s *State) Unreachable(engine string) { s.slots.Broken(engine) }
+func (s *State) Unreachable(engine string) { s.slots.MarkUnreachable(engine) }
 
 // Owned returns the boxes of the engines that this router owns.
 func (s *State) Owned() []config.Box { return s.slots.Owned() }
--- a/internal/control/counts.go
+++ b/internal/control/counts.go
@@ -52,7 +52,7 @@
 		Waiting:  s.waiting,
 		Running:  len(s.running),
 		Engines:  len(s.slots.Owned()),
-		Used:     s.slots.Used(),
+		Used:     s.slots.InUse(),
 		Routers:  len(s.members.Live(now)),
 		ViewAge:  s.view.Age(now),
 		Revision: s.snapshot.Revision,
--- a/internal/control/dispatch.go
+++ b/internal/control/dispatch.go
@@ -183,7 +183,7 @@
 	if !ok {
 		return
 	}
-	u, ok := s.slots.Take(place.Use{
+	u, ok := s.slots.Allocate(place.Allocation{
 		Pool:         p.name,
 		Holder:       s.members.Self().ID,
 		Organisation: organisation,
@@ -221,7 +221,7 @@
 	if !ok {
 		return
 	}
-	u, ok := s.slots.Take(place.Use{
+	u, ok := s.slots.Allocate(place.Allocation{
 		Pool:         p.name,
 		Holder:       holder,
 		Organisation: organisation,
@@ -258,7 +258,7 @@
 		owner:  from,
 		remote: true,
 		chosen: t.Organisation() != g.Organisation,
-		use: place.Use{
+		use: place.Allocation{
 			Slot:         g.Slot,
 			Engine:       g.Engine,
 			Address:      box.Address,
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -41,7 +41,7 @@
 	case message.Idle:
 		s.idle(from, m)
 	case message.Held:
-		s.slots.Foreign(m.Engine, from.ID, m.Foreign, now, s.options.Timeout)
+		s.slots.SetForeign(m.Engine, from.ID, m.Foreign, now, s.options.Timeout)
 	}
 }
 
@@ -55,7 +55,7 @@
 // still hold them.
 func (s *State) audit(now time.Time) {
 	slots := map[message.RouterID][]uint64{}
-	for _, u := range s.slots.Overdue(s.members.Self().ID, now) {
+	for _, u := range s.slots.DueForAudit(s.members.Self().ID, now) {
 		slots[u.Holder] = append(slots[u.Holder], u.Slot)
 	}
 	for holder, list := range slots {
@@ -168,7 +168,7 @@
 		}
 		s.turns[box.Pool] = append(s.turns[box.Pool], owner.ID)
 	}
-	s.slots.Own(mine, now)
+	s.slots.SetOwned(mine, now)
 	s.lay()
 }
 
@@ -233,7 +233,7 @@
 
 func (s *State) tellHeld(key foreignKey, n int, now time.Time) {
 	if key.owner == s.members.Self().ID {
-		s.slots.Foreign(key.engine, key.owner, n, now, s.options.Timeout)
+		s.slots.SetForeign(key.engine, key.owner, n, now, s.options.Timeout)
 		return
 	}
 	if to, ok := s.members.Lookup(key.owner); ok {
--- a/internal/forward/advice.go
+++ b/internal/forward/advice.go
@@ -60,7 +60,7 @@
 		}
 		x.log.Info("target asks for a rest", "target", to.ID, "rest_ms", d.Milliseconds(), "id", x.ID)
 		x.counts.Advised(AdviceRest)
-		if d > advice.RestMost {
+		if d > advice.MaxBackoff {
 			x.counts.Advised(AdviceRestBounded)
 		}
 	})
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -44,7 +44,7 @@
 
 // Crowded returns why a request of an organisation to engines is to be refused
 // unread, or "": it sends more than the router can take in.
-func (f *Forwarder) Crowded(organisation string, o throttle.Offer) Reason {
+func (f *Forwarder) Crowded(organisation string, o throttle.RequestSize) Reason {
 	return Reason(f.loop.Crowded(organisation, o))
 }
 
@@ -56,7 +56,7 @@
 
 // Admit lets a request of an organisation to engines in, or returns why it is to be
 // refused.
-func (f *Forwarder) Admit(organisation string, o throttle.Offer) Reason {
+func (f *Forwarder) Admit(organisation string, o throttle.RequestSize) Reason {
 	return Reason(f.loop.Admit(organisation, o))
 }
 
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -56,7 +56,7 @@
 func (g *Gateway) heardStatus(s *balance.State, now time.Time, from member.Member, m message.Status) {
 	g.catchUp(now, from, m.Revisions)
 	if from.Zone == g.known.Zone {
-		g.zone.Heard(now, from.ID, m)
+		g.zone.UpdateReport(now, from.ID, m)
 	} else {
 		if now.Sub(g.sums[from.Zone]) < sumAge {
 			return
@@ -80,24 +80,24 @@
 		s.HeardLoad(now, string(from), l.Target, loadOf(l))
 	}
 	if zone == g.known.Zone {
-		g.zone.HeardLoads(from, m.Loads)
+		g.zone.UpdateLoads(from, m.Loads)
 	}
 }
 
 func reportOf(m message.Status) view.Report {
 	r := view.Report{
-		Loads: make(map[string]view.Load, len(m.Loads)),
-		Usage: make(map[string]view.Usage, len(m.Usage)),
-		Kept:  make(map[string][]string, len(m.Kept)),
+		Loads:       make(map[string]view.Load, len(m.Loads)),
+		Usage:       make(map[string]view.Usage, len(m.Usage)),
+		SharedParts: make(map[string][]string, len(m.Kept)),
 	}
 	for _, l := range m.Loads {
 		r.Loads[l.Target] = loadOf(l)
 	}
 	for _, k := range m.Kept {
-		r.Kept[k.Target] = k.Parts
+		r.SharedParts[k.Target] = k.Parts
 	}
 	for _, u := range m.Usage {
-		r.Usage[u.Organisation] = view.Usage{Asked: u.Asked, Begun: u.Begun, Waiting: u.Waiting}
+		r.Usage[u.Organisation] = view.Usage{Demand: u.Asked, Started: u.Begun, Waiting: u.Waiting}
 	}
 	return r
 }
@@ -112,7 +112,7 @@
 }
 
 func loadOf(l message.TargetLoad) view.Load {
-	return view.Load{Unread: l.Unread, Running: l.Running, Memory: l.Memory}
+	return view.Load{PendingTokens: l.Unread, Running: l.Running, Memory: l.Memory}
 }
 
 func (g *Gateway) takeCopy(s *balance.State, now time.Time, from member.Member, m message.Copy) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -196,7 +196,7 @@
 	state := balance.New(now, o.Zone, o.Limits, random)
 	state.Notify(g.tellLoad)
 	g.cold = coldstart.NewSenders(now, g.roster, self.ID)
-	state.OnCold(g.cold.Part)
+	state.OnCold(g.cold.SendLimit)
 	g.loop = balance.NewLoop(state)
 	g.loop.Meter(metrics.ProcessorTime, o.Capacity)
 	g.loop.OnAwake(g.awake)
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -112,9 +112,9 @@
 		if k.Ended {
 			what = "organisation no longer throttled"
 		}
-		g.Log.Info(what, "organisation", k.Organisation, "busy", k.Busy, "coalesce", k.Coalesce, "cores", k.Cores,
-			"had", int(k.Had), "share", int(min(k.Level, math.MaxInt32)), "least_waiting", int(min(k.Least, math.MaxInt32)),
-			"waiting", k.Waiting, "crowded", k.Crowded, "busied", k.Busied, "after_ms", k.Lasted.Milliseconds())
+		g.Log.Info(what, "organisation", k.Organisation, "busy", k.CPUUtilisation, "coalesce", k.CoalesceLevel, "cores", k.CoreLimit,
+			"had", int(k.Served), "share", int(min(k.FairShare, math.MaxInt32)), "least_waiting", int(min(k.LeastServedWaiting, math.MaxInt32)),
+			"waiting", k.Waiting, "crowded", k.RejectedQueueFull, "busied", k.RejectedBusy, "after_ms", k.Duration.Milliseconds())
 	}
 }
 
@@ -129,18 +129,18 @@
 	if summed {
 		to = inZone(serving, g.known.Zone)
 	}
-	if r.Serving() || g.reporter.serving {
+	if r.Active() || g.reporter.serving {
 		own := g.describe(r)
 		g.peers.SendAll(members(to), own)
-		g.zone.Heard(now, g.known.ID, own)
+		g.zone.UpdateReport(now, g.known.ID, own)
 	}
 	if summed && g.relays(serving) {
 		g.tellSum(now, serving)
 	} else {
-		g.zone.Drop()
+		g.zone.DiscardParts()
 	}
 	period := max(reportPeriod, periodPerPeer*time.Duration(len(to)))
-	g.reporter.due, g.reporter.serving = now.Add(period), r.Serving()
+	g.reporter.due, g.reporter.serving = now.Add(period), r.Active()
 	if summed {
 		// What waits in another zone is told by two, each when its turn comes.
 		period += sumPeriod
@@ -156,7 +156,7 @@
 	if !self.Serving {
 		return false
 	}
-	first, ok := zonesum.Relay(self.Zone, append(slices.Clone(serving), self))
+	first, ok := zonesum.SelectRelay(self.Zone, append(slices.Clone(serving), self))
 	return ok && first.ID == self.ID
 }
 
@@ -174,7 +174,7 @@
 			continue
 		}
 		told[r.Zone] = true
-		if to, ok := zonesum.Relay(r.Zone, serving); ok {
+		if to, ok := zonesum.SelectRelay(r.Zone, serving); ok {
 			g.peers.Send(roster.Member(to), message.ZoneStatus{Zone: g.known.Zone, Status: sum})
 		}
 	}
@@ -260,17 +260,17 @@
 	for id, l := range r.Loads {
 		m.Loads = append(m.Loads, targetLoad(id, l))
 	}
-	for id, parts := range r.Kept {
+	for id, parts := range r.SharedParts {
 		m.Kept = append(m.Kept, message.TargetParts{Target: id, Parts: parts})
 	}
 	for name, u := range r.Usage {
-		m.Usage = append(m.Usage, message.OrganisationUsage{Organisation: name, Asked: u.Asked, Begun: u.Begun, Waiting: u.Waiting})
+		m.Usage = append(m.Usage, message.OrganisationUsage{Organisation: name, Asked: u.Demand, Begun: u.Started, Waiting: u.Waiting})
 	}
 	return m
 }
 
 func targetLoad(id string, l view.Load) message.TargetLoad {
-	return message.TargetLoad{Target: id, Unread: l.Unread, Running: l.Running, Memory: l.Memory}
+	return message.TargetLoad{Target: id, Unread: l.PendingTokens, Running: l.Running, Memory: l.Memory}
 }
 
 // tellLoad tells the serving routers at once what own requests put on a target, and
--- a/internal/gateway/tally.go
+++ b/internal/gateway/tally.go
@@ -54,7 +54,7 @@
 		o.answered++
 	}
 	if v.Begun {
-		o.tokens += throttle.Offer{Input: r.Input, Output: r.Output}.Tokens()
+		o.tokens += throttle.RequestSize{Input: r.Input, Output: r.Output}.Tokens()
 	}
 	if hidden {
 		o.hidden++
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -95,14 +95,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.accepted++
-	return s.fresh.Enter(clock.Now(), s.short())
+	return s.fresh.Enqueue(clock.Now(), s.short())
 }
 
 // forget takes out a connection that was refused before anybody looked at it.
 func (s *conns) forget(place *list.Element) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fresh.Leave(place)
+	s.fresh.Remove(place)
 }
 
 // look notes that a connection is looked at, and reports whether its caller is to be turned
@@ -112,7 +112,7 @@
 	defer s.mu.Unlock()
 	now := clock.Now()
 	s.longest = max(s.longest, now.Sub(place.Value.(time.Time)))
-	return s.fresh.Look(now, place, s.short())
+	return s.fresh.Dequeue(now, place, s.short())
 }
 
 // arrivals returns how many connections came since the last call, and the longest that one
@@ -212,7 +212,7 @@
 		return false
 	}
 	c.closed = true
-	s.fresh.Leave(c.fresh)
+	s.fresh.Remove(c.fresh)
 	if c.place != nil {
 		s.unused.Remove(c.place)
 		c.place = nil
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -289,8 +289,8 @@
 }
 
 // offer returns what a request brings.
-func offer(r forward.Request) throttle.Offer {
-	return throttle.Offer{Input: r.Input, Output: r.Output}
+func offer(r forward.Request) throttle.RequestSize {
+	return throttle.RequestSize{Input: r.Input, Output: r.Output}
 }
 
 // identify finds a request's route, organisation and service. A verdict with a
--- a/internal/ingress/overdue_test.go
+++ b/internal/ingress/overdue_test.go
@@ -68,7 +68,7 @@
 			if served.Load() != want || s.TurnedAway() != turned {
 				t.Errorf("%d served, %d turned away, want %d and %d", served.Load(), s.TurnedAway(), want, turned)
 			}
-			if s.conns.fresh.Enter(time.Now().Add(time.Hour), true) == nil {
+			if s.conns.fresh.Enqueue(time.Now().Add(time.Hour), true) == nil {
 				t.Error("a connection that is gone counts as waiting")
 			}
 		})
--- a/internal/ingress/told_test.go
+++ b/internal/ingress/told_test.go
@@ -64,7 +64,7 @@
 			defer g.Stop()
 			defer s.Close()
 			if !place {
-				s.conns.fresh.Enter(clock.Now().Add(-time.Second), true)
+				s.conns.fresh.Enqueue(clock.Now().Add(-time.Second), true)
 			}
 			g.Go(func() { _ = s.server.Serve(aged{newListener(l, s)}) })
 			c, err := net.Dial("tcp", l.Addr().String())
--- a/internal/member/standing.go
+++ b/internal/member/standing.go
@@ -26,7 +26,7 @@
 func NewStanding(key string, id message.RouterID, zone string) *Standing {
 	hash := rendezvous.Hash(key)
 	return &Standing{
-		id: id, zone: zone, key: hash, own: rendezvous.WeightOf(hash, rendezvous.Hash(string(id))),
+		id: id, zone: zone, key: hash, own: rendezvous.WeightFromHashes(hash, rendezvous.Hash(string(id))),
 		zones: map[string]zoneCount{},
 	}
 }
@@ -38,7 +38,7 @@
 	}
 	z := s.zones[zone]
 	z.all++
-	if rendezvous.WeightOf(s.key, rendezvous.Hash(string(id))) > s.own {
+	if rendezvous.WeightFromHashes(s.key, rendezvous.Hash(string(id))) > s.own {
 		z.before++
 	}
 	s.zones[zone] = z
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -13,8 +13,8 @@
 type Work struct {
 	// Ahead is the number of prompt tokens that are unread before it.
 	Ahead int
-	// Own is the number of tokens of its own prompt that the engine must read.
-	Own int
+	// Uncached is the number of tokens of its own prompt that the engine must read.
+	Uncached int
 }
 
 const (
@@ -60,13 +60,15 @@
 // Predict returns the time to the first event of a request.
 func (m *Model) Predict(w Work) time.Duration { return duration(m.predict(features(w))) }
 
-// Error returns the usual difference between the time predicted and the time
+// RelativeError returns the usual difference between the time predicted and the time
 // taken, as a part of the former.
-func (m *Model) Error() float64 { return m.usual }
+func (m *Model) RelativeError() float64 { return m.usual }
 
-// Reading returns the time in which an engine reads a number of tokens, beside
+// PrefillTime returns the time in which an engine reads a number of tokens, beside
 // what else it does.
-func (m *Model) Reading(tokens int) time.Duration { return duration(float64(tokens) / 1000 * m.now[1]) }
+func (m *Model) PrefillTime(tokens int) time.Duration {
+	return duration(float64(tokens) / 1000 * m.now[1])
+}
 
 // Observe takes in how long the first event of a request took. What is unread
 // before a request is known late and in part, what is its own is known well, and
@@ -78,7 +80,7 @@
 	miss := milliseconds(took) - expected
 	limit := unusual * m.usual * expected
 	m.usual += errorWeight * (min(math.Abs(miss), limit)/expected - m.usual)
-	x := features(Work{Own: w.Own})
+	x := features(Work{Uncached: w.Uncached})
 	y := m.predict(x) + min(max(miss, -limit), limit)
 	// Errors grow with the time, and so long prompts count less.
 	weight := min(m.now[0]/expected, 1)
@@ -141,7 +143,7 @@
 
 // features returns what the coefficients are multiplied with.
 func features(w Work) coefficients {
-	own := float64(w.Own) / 1000
+	own := float64(w.Uncached) / 1000
 	return coefficients{1, float64(w.Ahead)/1000 + own, own * own}
 }
 
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -17,13 +17,13 @@
 type engine struct{ fixed, tokens, pairs float64 }
 
 func (e engine) first(w pace.Work) time.Duration {
-	own := float64(w.Own) / 1000
+	own := float64(w.Uncached) / 1000
 	ms := e.fixed + e.tokens*(float64(w.Ahead)/1000+own) + e.pairs*own*own
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
 func draw(r *rand.Rand) pace.Work {
-	return pace.Work{Ahead: r.IntN(8000), Own: 1 + int(2000*math.Exp(r.NormFloat64()))}
+	return pace.Work{Ahead: r.IntN(8000), Uncached: 1 + int(2000*math.Exp(r.NormFloat64()))}
 }
 
 func ExampleModel() {
@@ -34,8 +34,8 @@
 		w := draw(r)
 		m.Observe(w, e.first(w))
 	}
-	fmt.Println(m.Predict(pace.Work{Ahead: 5000, Own: 10_000}).Round(10 * time.Millisecond))
-	fmt.Println(m.Reading(1000).Round(time.Millisecond))
+	fmt.Println(m.Predict(pace.Work{Ahead: 5000, Uncached: 10_000}).Round(10 * time.Millisecond))
+	fmt.Println(m.PrefillTime(1000).Round(time.Millisecond))
 	// Output:
 	// 220ms
 	// 11ms
@@ -57,7 +57,7 @@
 				noise := 1 + 0.2*r.NormFloat64()
 				m.Observe(w, time.Duration(float64(e.first(w))*max(noise, 0.1)))
 			}
-			for _, w := range []pace.Work{{Own: 500}, {Ahead: 4000, Own: 500}, {Own: 20_000}} {
+			for _, w := range []pace.Work{{Uncached: 500}, {Ahead: 4000, Uncached: 500}, {Uncached: 20_000}} {
 				got, want := m.Predict(w), e.first(w)
 				if math.Abs(float64(got-want)) > 0.12*float64(want)+float64(5*time.Millisecond) {
 					t.Errorf("%+v takes %v, predicted %v", w, want, got)
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestFewSlowOnesChangeLittle(t *testing.T) {
+func TestOutliersChangeLittle(t *testing.T) {
 	m := pace.New()
 	r := rand.New(rand.NewPCG(4, 5))
 	e := engine{50, 11, 0.08}
@@ -79,7 +79,7 @@
 		}
 		m.Observe(w, took)
 	}
-	w := pace.Work{Own: 1000}
+	w := pace.Work{Uncached: 1000}
 	if got := m.Predict(w); got > 2*e.first(w) {
 		t.Errorf("predicted %v where most take %v", got, e.first(w))
 	}
@@ -97,12 +97,12 @@
 		m := pace.New()
 		var seen []observation
 		for range rapid.IntRange(1, 60).Draw(t, "requests") {
-			w := pace.Work{Own: 1 + r.IntN(4000)}
+			w := pace.Work{Uncached: 1 + r.IntN(4000)}
 			weight := float64(m.Predict(pace.Work{})) / float64(m.Predict(w))
 			seen = append(seen, observation{w, weight * weight})
 			m.Observe(w, e.first(w))
 		}
-		w := pace.Work{Own: 2000}
+		w := pace.Work{Uncached: 2000}
 		got, want := m.Predict(w), descend(seen, e, w)
 		if math.Abs(float64(got-want)) > 0.01*float64(want) {
 			t.Fatalf("predicted %v, over the whole history %v", got, want)
@@ -116,9 +116,9 @@
 	weight float64
 }
 
-// TestUnreadBeforeIsKnownInPart plays engines of whose unread tokens a router
+// TestTokensAheadKnownInPart plays engines of whose unread tokens a router
 // knows a random part.
-func TestUnreadBeforeIsKnownInPart(t *testing.T) {
+func TestTokensAheadKnownInPart(t *testing.T) {
 	m := pace.New()
 	r := rand.New(rand.NewPCG(6, 7))
 	e := engine{50, 11, 0.08}
@@ -128,7 +128,7 @@
 		w.Ahead = int(float64(w.Ahead) * r.Float64())
 		m.Observe(w, took)
 	}
-	if got := m.Reading(1000); got < 9*time.Millisecond || got > 13*time.Millisecond {
+	if got := m.PrefillTime(1000); got < 9*time.Millisecond || got > 13*time.Millisecond {
 		t.Errorf("1,000 tokens are read in 11ms, predicted %v", got)
 	}
 }
@@ -137,7 +137,7 @@
 // one coefficient after the other.
 func descend(seen []observation, e engine, at pace.Work) time.Duration {
 	feature := func(w pace.Work) [3]float64 {
-		own := float64(w.Own) / 1000
+		own := float64(w.Uncached) / 1000
 		return [3]float64{1, float64(w.Ahead)/1000 + own, own * own}
 	}
 	guess := [3]float64{50, 25, 0}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -21,8 +21,8 @@
 // requests than routers have told it of.
 const settling = 2 * time.Second
 
-// Use is one slot in use.
-type Use struct {
+// Allocation is one slot in use.
+type Allocation struct {
 	Slot         uint64
 	Engine       string
 	Address      string
@@ -45,7 +45,7 @@
 
 type engine struct {
 	box     config.Box
-	uses    map[uint64]Use
+	uses    map[uint64]Allocation
 	foreign map[message.RouterID]foreign
 	// unexplained is how many more requests the engine had than this owner
 	// knew of, when it last reported its load.
@@ -67,14 +67,14 @@
 	return &Slots{next: first, engines: map[string]*engine{}, uses: map[uint64]*engine{}}
 }
 
-// Own makes boxes the set of engines owned.
-func (s *Slots) Own(boxes []config.Box, now time.Time) {
+// SetOwned makes boxes the set of engines owned.
+func (s *Slots) SetOwned(boxes []config.Box, now time.Time) {
 	keep := map[string]bool{}
 	for _, b := range boxes {
 		keep[b.Name] = true
 		e := s.engines[b.Name]
 		if e == nil || e.box.Address != b.Address {
-			e = &engine{uses: map[uint64]Use{}, foreign: map[message.RouterID]foreign{}, acquired: now}
+			e = &engine{uses: map[uint64]Allocation{}, foreign: map[message.RouterID]foreign{}, acquired: now}
 			s.engines[b.Name] = e
 		}
 		e.box = b
@@ -103,8 +103,8 @@
 // Owns reports whether the engine is owned.
 func (s *Slots) Owns(name string) bool { return s.engines[name] != nil }
 
-// Answered takes in an engine's own report of its load.
-func (s *Slots) Answered(name string, load port.EngineLoad, now time.Time) {
+// RecordLoad takes in an engine's own report of its load.
+func (s *Slots) RecordLoad(name string, load port.EngineLoad, now time.Time) {
 	e := s.engines[name]
 	if e == nil {
 		return
@@ -115,17 +115,17 @@
 	e.broken = false
 }
 
-// Broken notes that an engine could not be reached; it gets nothing until it
+// MarkUnreachable notes that an engine could not be reached; it gets nothing until it
 // answers again.
-func (s *Slots) Broken(name string) {
+func (s *Slots) MarkUnreachable(name string) {
 	if e := s.engines[name]; e != nil {
 		e.broken = true
 	}
 }
 
-// Foreign notes how many requests a router runs on an engine by grants of an
+// SetForeign notes how many requests a router runs on an engine by grants of an
 // earlier owner; the number lapses after ttl.
-func (s *Slots) Foreign(name string, id message.RouterID, count int, now time.Time, ttl time.Duration) {
+func (s *Slots) SetForeign(name string, id message.RouterID, count int, now time.Time, ttl time.Duration) {
 	e := s.engines[name]
 	if e == nil {
 		return
@@ -171,12 +171,12 @@
 	return n
 }
 
-// Take uses a slot of the pool's emptiest engine, by the share of its slots
+// Allocate uses a slot of the pool's emptiest engine, by the share of its slots
 // that are free. It returns false if no slot is free.
-func (s *Slots) Take(u Use, now time.Time) (Use, bool) {
+func (s *Slots) Allocate(u Allocation, now time.Time) (Allocation, bool) {
 	best := s.emptiest(u.Pool, now)
 	if best == nil {
-		return Use{}, false
+		return Allocation{}, false
 	}
 	s.next++
 	u.Slot = s.next
@@ -206,10 +206,10 @@
 
 // Release frees a slot and returns what it was used for. It returns false
 // for a slot that is not in use, as when its answer comes twice.
-func (s *Slots) Release(slot uint64) (Use, bool) {
+func (s *Slots) Release(slot uint64) (Allocation, bool) {
 	e := s.uses[slot]
 	if e == nil {
-		return Use{}, false
+		return Allocation{}, false
 	}
 	u := e.uses[slot]
 	delete(e.uses, slot)
@@ -219,8 +219,8 @@
 
 // ReleaseHolder frees every slot that a router holds, as when it has died,
 // and returns their uses.
-func (s *Slots) ReleaseHolder(id message.RouterID) []Use {
-	var released []Use
+func (s *Slots) ReleaseHolder(id message.RouterID) []Allocation {
+	var released []Allocation
 	for slot, e := range s.uses {
 		if u := e.uses[slot]; u.Holder == id {
 			released = append(released, u)
@@ -256,10 +256,10 @@
 // time doubles with each further question.
 const firstAudit = 2 * time.Second
 
-// Overdue returns the slots whose holders, other than self, are due to be
+// DueForAudit returns the slots whose holders, other than self, are due to be
 // asked whether they still hold them.
-func (s *Slots) Overdue(self message.RouterID, now time.Time) []Use {
-	var due []Use
+func (s *Slots) DueForAudit(self message.RouterID, now time.Time) []Allocation {
+	var due []Allocation
 	for slot, e := range s.uses {
 		u := e.uses[slot]
 		if u.Holder == self {
@@ -277,9 +277,9 @@
 		e.uses[slot] = u
 		due = append(due, u)
 	}
-	slices.SortFunc(due, func(a, b Use) int { return cmp.Compare(a.Slot, b.Slot) })
+	slices.SortFunc(due, func(a, b Allocation) int { return cmp.Compare(a.Slot, b.Slot) })
 	return due
 }
 
-// Used returns the number of slots in use.
-func (s *Slots) Used() int { return len(s.uses) }
+// InUse returns the number of slots in use.
+func (s *Slots) InUse() int { return len(s.uses) }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -21,7 +21,7 @@
 
 func owning(slots int) *place.Slots {
 	s := place.New(0)
-	s.Own([]config.Box{{Name: "e1", Pool: "p", Slots: slots, Address: "a"}}, start)
+	s.SetOwned([]config.Box{{Name: "e1", Pool: "p", Slots: slots, Address: "a"}}, start)
 	return s
 }
 
@@ -32,32 +32,32 @@
 
 	It("gives nothing on an engine that has been silent", func() {
 		s := owning(4)
-		s.Answered("e1", port.EngineLoad{}, start)
+		s.RecordLoad("e1", port.EngineLoad{}, start)
 		Expect(s.Free("p", start.Add(time.Second))).To(Equal(4))
 		Expect(s.Free("p", start.Add(4*time.Second))).To(BeZero())
 	})
 
 	It("leaves room at first for requests that it was not told of", func() {
 		s := owning(4)
-		s.Answered("e1", port.EngineLoad{Running: 3}, start)
+		s.RecordLoad("e1", port.EngineLoad{Running: 3}, start)
 		Expect(s.Free("p", start)).To(Equal(1))
-		s.Foreign("e1", "r2", 3, start, time.Minute)
-		s.Answered("e1", port.EngineLoad{Running: 3}, start)
+		s.SetForeign("e1", "r2", 3, start, time.Minute)
+		s.RecordLoad("e1", port.EngineLoad{Running: 3}, start)
 		Expect(s.Free("p", start)).To(Equal(1))
-		s.Foreign("e1", "r2", 0, start, time.Minute)
+		s.SetForeign("e1", "r2", 0, start, time.Minute)
 		Expect(s.Free("p", start)).To(Equal(4))
 	})
 
 	It("reuses at once a slot that it gave itself, whatever the last report said", func() {
 		s := owning(4)
-		s.Answered("e1", port.EngineLoad{}, start)
-		var used []place.Use
+		s.RecordLoad("e1", port.EngineLoad{}, start)
+		var used []place.Allocation
 		for range 4 {
-			u, ok := s.Take(place.Use{Pool: "p"}, start)
+			u, ok := s.Allocate(place.Allocation{Pool: "p"}, start)
 			Expect(ok).To(BeTrue())
 			used = append(used, u)
 		}
-		s.Answered("e1", port.EngineLoad{Running: 4}, start)
+		s.RecordLoad("e1", port.EngineLoad{Running: 4}, start)
 		_, ok := s.Release(used[0].Slot)
 		Expect(ok).To(BeTrue())
 		Expect(s.Free("p", start)).To(Equal(1))
@@ -65,8 +65,8 @@
 
 	It("frees a slot only once", func() {
 		s := owning(1)
-		s.Answered("e1", port.EngineLoad{}, start)
-		u, _ := s.Take(place.Use{Pool: "p"}, start)
+		s.RecordLoad("e1", port.EngineLoad{}, start)
+		u, _ := s.Allocate(place.Allocation{Pool: "p"}, start)
 		_, first := s.Release(u.Slot)
 		_, second := s.Release(u.Slot)
 		Expect([]bool{first, second}).To(Equal([]bool{true, false}))
@@ -74,8 +74,8 @@
 
 	It("never takes back that an engine is leaving", func() {
 		s := owning(4)
-		s.Answered("e1", port.EngineLoad{Leaving: true}, start)
-		s.Answered("e1", port.EngineLoad{Leaving: false}, start)
+		s.RecordLoad("e1", port.EngineLoad{Leaving: true}, start)
+		s.RecordLoad("e1", port.EngineLoad{Leaving: false}, start)
 		Expect(s.Free("p", start)).To(BeZero())
 	})
 })
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -55,25 +55,25 @@
 	c.trim(now)
 }
 
-// Heard notes that another router sent the engine prompts with these parts.
-func (c *Cache) Heard(now time.Time, parts []string) {
+// AddRemote notes that another router sent the engine prompts with these parts.
+func (c *Cache) AddRemote(now time.Time, parts []string) {
 	for _, id := range parts {
 		c.parts[id] = use{at: now, told: now}
 	}
 	c.trim(now)
 }
 
-// Untold returns the parts of which other routers are to be told, and takes
+// TakeAnnouncements returns the parts of which other routers are to be told, and takes
 // them as told.
-func (c *Cache) Untold() []string {
+func (c *Cache) TakeAnnouncements() []string {
 	list := c.untold
 	c.untold = nil
 	return list
 }
 
-// Missing returns how many of a prompt's tokens the engine has to read: those
+// UncachedTokens returns how many of a prompt's tokens the engine has to read: those
 // from the first part on that it does not keep.
-func (c *Cache) Missing(now time.Time, prompt []Part, tokens int) int {
+func (c *Cache) UncachedTokens(now time.Time, prompt []Part, tokens int) int {
 	for _, p := range prompt {
 		u, ok := c.parts[p.ID]
 		if !ok || now.Sub(u.at) > keptTime {
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -30,35 +30,35 @@
 	})
 
 	It("lacks what the engine was not sent, from the first part on", func() {
-		Expect(c.Missing(now, prompt("a"), 1150)).To(Equal(1150))
+		Expect(c.UncachedTokens(now, prompt("a"), 1150)).To(Equal(1150))
 		c.Add(now, prompt("a"))
-		Expect(c.Missing(now, prompt("a"), 1150)).To(Equal(1))
-		Expect(c.Missing(now, prompt("b"), 1150)).To(Equal(50))
+		Expect(c.UncachedTokens(now, prompt("a"), 1150)).To(Equal(1))
+		Expect(c.UncachedTokens(now, prompt("b"), 1150)).To(Equal(50))
 		other := prompt("c")
 		other[0].ID = "other"
-		Expect(c.Missing(now, other, 1150)).To(Equal(1150))
+		Expect(c.UncachedTokens(now, other, 1150)).To(Equal(1150))
 	})
 
 	It("does not count on what was last used long ago", func() {
 		c.Add(now, prompt("a"))
-		Expect(c.Missing(now.Add(14*time.Second), prompt("b"), 1150)).To(Equal(50))
-		Expect(c.Missing(now.Add(16*time.Second), prompt("b"), 1150)).To(Equal(1150))
+		Expect(c.UncachedTokens(now.Add(14*time.Second), prompt("b"), 1150)).To(Equal(50))
+		Expect(c.UncachedTokens(now.Add(16*time.Second), prompt("b"), 1150)).To(Equal(1150))
 	})
 
 	It("tells of shared parts once in a while, and of those heard of not at all", func() {
-		c.Heard(now, []string{"all"})
+		c.AddRemote(now, []string{"all"})
 		c.Add(now, prompt("a"))
-		Expect(c.Untold()).To(Equal([]string{"thing"}))
-		Expect(c.Untold()).To(BeEmpty())
+		Expect(c.TakeAnnouncements()).To(Equal([]string{"thing"}))
+		Expect(c.TakeAnnouncements()).To(BeEmpty())
 		c.Add(now.Add(time.Second), prompt("b"))
-		Expect(c.Untold()).To(BeEmpty())
+		Expect(c.TakeAnnouncements()).To(BeEmpty())
 		c.Add(now.Add(6*time.Second), prompt("b"))
-		Expect(c.Untold()).To(Equal([]string{"all", "thing"}))
+		Expect(c.TakeAnnouncements()).To(Equal([]string{"all", "thing"}))
 	})
 
 	It("knows what other routers sent", func() {
-		c.Heard(now, []string{"all", "thing"})
-		Expect(c.Missing(now, prompt("a"), 1150)).To(Equal(50))
+		c.AddRemote(now, []string{"all", "thing"})
+		Expect(c.UncachedTokens(now, prompt("a"), 1150)).To(Equal(50))
 	})
 
 	It("forgets the oldest of very many", func() {
@@ -66,7 +66,7 @@
 			c.Add(now.Add(time.Duration(i)*time.Millisecond), []prefix.Part{{ID: fmt.Sprint(i), Tokens: 1}})
 		}
 		now = now.Add(2 * time.Second)
-		Expect(c.Missing(now, []prefix.Part{{ID: "1999", Tokens: 9}}, 10)).To(Equal(1))
-		Expect(c.Missing(now, []prefix.Part{{ID: "0", Tokens: 9}}, 10)).To(Equal(10))
+		Expect(c.UncachedTokens(now, []prefix.Part{{ID: "1999", Tokens: 9}}, 10)).To(Equal(1))
+		Expect(c.UncachedTokens(now, []prefix.Part{{ID: "0", Tokens: 9}}, 10)).To(Equal(10))
 	})
 })
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -10,11 +10,11 @@
 
 // Weight returns the weight of id for key; the id with the highest weight
 // gets the key.
-func Weight(key, id string) uint64 { return WeightOf(Hash(key), Hash(id)) }
+func Weight(key, id string) uint64 { return WeightFromHashes(Hash(key), Hash(id)) }
 
-// WeightOf is Weight for a key and an id of which the hashes are known, as
+// WeightFromHashes is Weight for a key and an id of which the hashes are known, as
 // where one key is weighed for the same ids again and again.
-func WeightOf(key, id uint64) uint64 { return mix(key ^ bits.RotateLeft64(id, 32)) }
+func WeightFromHashes(key, id uint64) uint64 { return mix(key ^ bits.RotateLeft64(id, 32)) }
 
 // Hash returns the hash of a key or an id for WeightOf.
 func Hash(text string) uint64 {
--- a/internal/roster/cold_test.go
+++ b/internal/roster/cold_test.go
@@ -12,7 +12,7 @@
 )
 
 // coldRate is what a cold target bears in the plays.
-var coldRate = coldstart.Rate{PerSecond: 9.8, Most: 19.7}
+var coldRate = coldstart.Rate{PerSecond: 9.8, MaxPerSecond: 19.7}
 
 // coldPart is what the senders of one view may send in a second: three views fit.
 const coldPart = 6.0
@@ -51,7 +51,7 @@
 		return
 	}
 	for i, target := range s.targets {
-		if windows[i].Count(s.time()) < rights.Part(s.time(), target, coldRate) {
+		if windows[i].Count(s.time()) < rights.SendLimit(s.time(), target, coldRate) {
 			windows[i].Add(s.time())
 			s.arrived[target] = append(s.arrived[target], s.now)
 		}
@@ -84,7 +84,7 @@
 		f.run(5 * time.Second)
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
-				if n := s.most(); float64(n) > coldRate.Most {
+				if n := s.most(); float64(n) > coldRate.MaxPerSecond {
 					t.Fatalf("%d requests reached a cold target in a second", n)
 				}
 			},
--- a/internal/roster/known.go
+++ b/internal/roster/known.go
@@ -50,7 +50,7 @@
 	first := make([]ranked, 0, n+1)
 	hash := rendezvous.Hash(key)
 	for other := range r.Each(now) {
-		w := rendezvous.WeightOf(hash, rendezvous.Hash(string(other.ID)))
+		w := rendezvous.WeightFromHashes(hash, rendezvous.Hash(string(other.ID)))
 		at, _ := slices.BinarySearchFunc(first, w, func(e ranked, w uint64) int { return cmp.Compare(w, e.weight) })
 		if at >= n {
 			continue
--- a/internal/throttle/control.go
+++ b/internal/throttle/control.go
@@ -77,9 +77,9 @@
 	crowdedOut, busiedOut int
 }
 
-// Control is what becomes of the requests that organisations send to engines through a
+// Controller is what becomes of the requests that organisations send to engines through a
 // router. Use New to make one.
-type Control struct {
+type Controller struct {
 	// tick is the time between calls of Gates, waitingMost how many requests of an
 	// organisation may wait for an engine.
 	tick        time.Duration
@@ -93,37 +93,39 @@
 
 // New returns a control that lets all in. Gates is to be called each tick; waitingMost is
 // how many requests of an organisation may wait for an engine.
-func New(tick time.Duration, waitingMost int) *Control {
-	return &Control{tick: tick, waitingMost: waitingMost, flows: map[string]*flow{}, pieces: firstPieces}
+func New(tick time.Duration, waitingMost int) *Controller {
+	return &Controller{tick: tick, waitingMost: waitingMost, flows: map[string]*flow{}, pieces: firstPieces}
 }
 
-// Busy returns the part of its cores that the router used last.
-func (c *Control) Busy() float64 { return c.busy }
+// CPUUtilisation returns the part of its cores that the router used last.
+func (c *Controller) CPUUtilisation() float64 { return c.busy }
 
-// Coalesce returns how much streams should let events come together to save the processor's
+// CoalesceLevel returns how much streams should let events come together to save the processor's
 // time, from 0 (none) to 1 (as long as callers accept).
-func (c *Control) Coalesce() float64 { return c.coalesce }
+func (c *Controller) CoalesceLevel() float64 { return c.coalesce }
 
-// Sent notes a request of an organisation that is sent to an engine.
-func (c *Control) Sent(organisation string, o Offer) { c.flow(organisation).note(o.effort(c.pieces)) }
+// RecordSent notes a request of an organisation that is sent to an engine.
+func (c *Controller) RecordSent(organisation string, o RequestSize) {
+	c.flow(organisation).note(o.effort(c.pieces))
+}
 
-// Crowded notes a request that was refused because too many of its organisation wait.
-func (c *Control) Crowded(organisation string) { c.flow(organisation).crowded++ }
+// RecordQueueFull notes a request that was refused because too many of its organisation wait.
+func (c *Controller) RecordQueueFull(organisation string) { c.flow(organisation).crowded++ }
 
-// Refused returns how many requests of an organisation were refused unread in the last tick.
-func (c *Control) Refused(organisation string) int {
+// RejectedLastTick returns how many requests of an organisation were refused unread in the last tick.
+func (c *Controller) RejectedLastTick(organisation string) int {
 	if f := c.flows[organisation]; f != nil {
 		return f.lately
 	}
 	return 0
 }
 
-// Learn learns from a stream in how many pieces a token comes.
-func (c *Control) Learn(pieces, tokens int) {
+// ObservePieces learns from a stream in how many pieces a token comes.
+func (c *Controller) ObservePieces(pieces, tokens int) {
 	c.pieces += piecesWeight * (float64(pieces)/float64(tokens) - c.pieces)
 }
 
-func (c *Control) flow(organisation string) *flow {
+func (c *Controller) flow(organisation string) *flow {
 	f := c.flows[organisation]
 	if f == nil {
 		f = &flow{most: math.Inf(1)}
@@ -145,9 +147,9 @@
 	f.sent, f.spent = 0, 0
 }
 
-// SetBusy notes which part of its cores the router used lately, lets streams coalesce
+// SetCPUUtilisation notes which part of its cores the router used lately, lets streams coalesce
 // accordingly, and throttles the organisation that takes most if that is too much.
-func (c *Control) SetBusy(now time.Time, part, cores float64, account func(organisation string) Account) {
+func (c *Controller) SetCPUUtilisation(now time.Time, part, cores float64, account func(organisation string) ShareStatus) {
 	c.busy = part
 	c.coalesce = coalesceAt(c.coalesce, part)
 	total := 0.0
@@ -167,20 +169,20 @@
 	}
 }
 
-// Account is what else is known of an organisation, for notices.
-type Account struct {
-	// Had is what it got lately, Level what is an organisation's share, and Least the
+// ShareStatus is what else is known of an organisation, for notices.
+type ShareStatus struct {
+	// Served is what it got lately, FairShare what is an organisation's share, and LeastServedWaiting the
 	// least that one got which waits, infinite if none does, all in tokens.
-	Had, Level, Least float64
+	Served, FairShare, LeastServedWaiting float64
 }
 
 // least returns the part of the cores that an organisation is let use however busy they are:
 // the more, the further it is behind its share. Beyond its share it takes from the others what
 // it is let in for.
-func (a Account) least() float64 {
+func (a ShareStatus) least() float64 {
 	behind := 1.0
-	if a.Level > 0 {
-		behind = max(1-a.Had/a.Level, 0)
+	if a.FairShare > 0 {
+		behind = max(1-a.Served/a.FairShare, 0)
 	}
 	return busyLeast + (shareLeast-busyLeast)*behind
 }
@@ -188,7 +190,7 @@
 // Gates returns the gates that are to hold until the next tick, by organisation; nil if
 // there are none. Waiting has how many requests of each wait for an engine; account is asked
 // for those of which there is a notice.
-func (c *Control) Gates(now time.Time, waiting map[string]int, account func(organisation string) Account) map[string]*Gate {
+func (c *Controller) Gates(now time.Time, waiting map[string]int, account func(organisation string) ShareStatus) map[string]*Gate {
 	var out map[string]*Gate
 	for name, f := range c.flows {
 		f.average()
@@ -213,7 +215,7 @@
 }
 
 // turn sets what a gate lets in until the next tick, or takes it away.
-func (c *Control) turn(now time.Time, organisation string, f *flow, waiting int, account func(string) Account) {
+func (c *Controller) turn(now time.Time, organisation string, f *flow, waiting int, account func(string) ShareStatus) {
 	began := f.since.IsZero()
 	if began {
 		f.since = now
@@ -226,8 +228,8 @@
 	}
 	f.told = now
 	c.notice(Notice{
-		Organisation: organisation, Began: began, Ended: ended, Busy: c.busy, Coalesce: c.coalesce, Cores: f.cores(c.tick),
-		Waiting: waiting, Account: account(organisation), Crowded: f.crowdedOut, Busied: f.busiedOut, Lasted: now.Sub(f.since),
+		Organisation: organisation, Began: began, Ended: ended, CPUUtilisation: c.busy, CoalesceLevel: c.coalesce, CoreLimit: f.cores(c.tick),
+		Waiting: waiting, ShareStatus: account(organisation), RejectedQueueFull: f.crowdedOut, RejectedBusy: f.busiedOut, Duration: now.Sub(f.since),
 	})
 	if ended {
 		f.since, f.crowdedOut, f.busiedOut = time.Time{}, 0, 0
--- a/internal/throttle/control_test.go
+++ b/internal/throttle/control_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-func TestGateOpensAgain(t *testing.T) {
+func TestIdleGateIsRemoved(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := &flow{gate: &Gate{}, refused: now}
-	f.gate.Crowds(Offer{})
+	f.gate.Check(RequestSize{})
 	f.turn(now, 0)
 	if f.lately != 1 || f.gate == nil {
 		t.Fatalf("%d refused lately, gate %v", f.lately, f.gate)
--- a/internal/throttle/gate.go
+++ b/internal/throttle/gate.go
@@ -14,10 +14,10 @@
 
 // The reasons.
 const (
-	// Crowded means that too many requests of the organisation wait, and Busy that the
+	// QueueFull means that too many requests of the organisation wait, and Busy that the
 	// router's processor serves no more of them.
-	Crowded Reason = "organisation-queue-full"
-	Busy    Reason = "router-busy"
+	QueueFull  Reason = "organisation-queue-full"
+	RouterBusy Reason = "router-busy"
 )
 
 // Gate bounds which requests to engines a router reads of an organisation that
@@ -44,26 +44,26 @@
 	arrived [grades]atomic.Int64
 }
 
-// Crowds returns why a request is to be refused unread, or "".
-func (g *Gate) Crowds(o Offer) Reason {
+// Check returns why a request is to be refused unread, or "".
+func (g *Gate) Check(o RequestSize) Reason {
 	grade, effort := g.weigh(o)
 	switch {
 	case !g.mayPass(grade):
-		return g.refuse(grade, effort, Busy)
+		return g.refuse(grade, effort, RouterBusy)
 	case g.left.Load() <= 0:
-		return g.refuse(grade, effort, Crowded)
+		return g.refuse(grade, effort, QueueFull)
 	}
 	return ""
 }
 
 // Admit lets a request in, or returns why it does not.
-func (g *Gate) Admit(o Offer) Reason {
+func (g *Gate) Admit(o RequestSize) Reason {
 	grade, effort := g.weigh(o)
 	switch {
 	case !g.mayPass(grade):
-		return g.refuse(grade, effort, Busy)
+		return g.refuse(grade, effort, RouterBusy)
 	case g.left.Add(-1) < 0:
-		return g.refuse(grade, effort, Crowded)
+		return g.refuse(grade, effort, QueueFull)
 	}
 	g.arrived[grade].Add(effort)
 	if left := g.timeFor(grade); left != nil {
@@ -74,7 +74,7 @@
 
 // weigh returns a request's grade and the processor time that it takes, in
 // nanoseconds.
-func (g *Gate) weigh(o Offer) (grade int, effort int64) {
+func (g *Gate) weigh(o RequestSize) (grade int, effort int64) {
 	pieces := math.Float64frombits(g.pieces.Load())
 	return o.grade(pieces), int64(o.effort(pieces))
 }
@@ -82,7 +82,7 @@
 // refuse counts a request that is refused for a reason, which it returns.
 func (g *Gate) refuse(grade int, effort int64, why Reason) Reason {
 	g.arrived[grade].Add(effort)
-	if why == Busy {
+	if why == RouterBusy {
 		g.busied.Add(1)
 		return why
 	}
--- a/internal/throttle/notice.go
+++ b/internal/throttle/notice.go
@@ -16,23 +16,23 @@
 	Organisation string
 	// Began and Ended are set where it began and ended to do so.
 	Began, Ended bool
-	// Busy is the part of its cores that the router used last, and Coalesce how much
+	// CPUUtilisation is the part of its cores that the router used last, and CoalesceLevel how much
 	// streams let events come together, from 0 to 1.
-	Busy, Coalesce float64
-	// Cores is how much of a core the organisation may use, 0 if that is not
+	CPUUtilisation, CoalesceLevel float64
+	// CoreLimit is how much of a core the organisation may use, 0 if that is not
 	// bounded.
-	Cores float64
+	CoreLimit float64
 	// Waiting is how many of its requests wait for an engine.
 	Waiting int
-	Account
-	// Crowded and Busied are how many were refused unread since it began, because
+	ShareStatus
+	// RejectedQueueFull and RejectedBusy are how many were refused unread since it began, because
 	// too many wait and for the processor.
-	Crowded, Busied int
-	// Lasted is for how long it has gone on.
-	Lasted time.Duration
+	RejectedQueueFull, RejectedBusy int
+	// Duration is for how long it has gone on.
+	Duration time.Duration
 }
 
-func (c *Control) notice(n Notice) {
+func (c *Controller) notice(n Notice) {
 	if len(c.notices) < noticesMost {
 		c.notices = append(c.notices, n)
 	}
@@ -40,7 +40,7 @@
 
 // Notices returns which organisations the router throttled since the last call, the first
 // few of them.
-func (c *Control) Notices() []Notice {
+func (c *Controller) Notices() []Notice {
 	out := c.notices
 	c.notices = nil
 	return out
--- a/internal/throttle/offer.go
+++ b/internal/throttle/offer.go
@@ -21,23 +21,23 @@
 	grades = 24
 )
 
-// Offer is what a request to engines brings, as its head says: the prompt's tokens,
+// RequestSize is what a request to engines brings, as its head says: the prompt's tokens,
 // and those expected out.
-type Offer struct {
+type RequestSize struct {
 	Input, Output int
 }
 
 // Tokens returns what the request counts for in shares, a token made counted twice.
-func (o Offer) Tokens() float64 { return float64(o.Input + 2*o.Output) }
+func (o RequestSize) Tokens() float64 { return float64(o.Input + 2*o.Output) }
 
 // effort returns the processor time that serving takes where a token of the answer
 // comes in so many pieces.
-func (o Offer) effort(pieces float64) time.Duration {
+func (o RequestSize) effort(pieces float64) time.Duration {
 	return requestEffort + time.Duration(float64(o.Output)*pieces*float64(pieceEffort))
 }
 
 // grade returns how much the request brings for its effort.
-func (o Offer) grade(pieces float64) int {
+func (o RequestSize) grade(pieces float64) int {
 	perMillisecond := o.Tokens() / (float64(o.effort(pieces)) / float64(time.Millisecond))
 	if perMillisecond < 1 {
 		return 0
--- a/internal/throttle/offer_test.go
+++ b/internal/throttle/offer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestCoalesceAt(t *testing.T) {
+func TestNextCoalesceLevel(t *testing.T) {
 	for name, c := range map[string]struct{ last, part, want float64 }{
 		"enough processor time":   {last: 0, part: 0.3, want: 0},
 		"short of it":             {last: 0, part: 0.6, want: 1},
@@ -22,15 +22,15 @@
 	}
 }
 
-func ExampleOffer_grade() {
+func ExampleRequestSize_grade() {
 	const pieces = 0.14
-	long := Offer{Input: 9190, Output: 50}
-	chatty := Offer{Input: 715, Output: 280}
-	fmt.Println(long.grade(pieces) > chatty.grade(pieces), Offer{}.grade(pieces))
+	long := RequestSize{Input: 9190, Output: 50}
+	chatty := RequestSize{Input: 715, Output: 280}
+	fmt.Println(long.grade(pieces) > chatty.grade(pieces), RequestSize{}.grade(pieces))
 	// Output: true 0
 }
 
-func TestCutAt(t *testing.T) {
+func TestFindCutGrade(t *testing.T) {
 	arrived := [grades]float64{2: 10, 5: 20, 9: 30}
 	for name, c := range map[string]struct {
 		most, left float64
@@ -50,13 +50,13 @@
 	}
 }
 
-func TestGateKeepsSomeOfEachKind(t *testing.T) {
-	long, chatty := Offer{Input: 9190, Output: 50}, Offer{Input: 715, Output: 280}
+func TestGateAdmitsSomeOfEachKind(t *testing.T) {
+	long, chatty := RequestSize{Input: 9190, Output: 50}, RequestSize{Input: 715, Output: 280}
 	f := &flow{most: 3e6, gate: &Gate{}}
 	f.gate.busy.Store(true)
 	f.gate.left.Store(1 << 30)
 	f.gate.pieces.Store(math.Float64bits(0.14))
-	read := map[Offer]int{}
+	read := map[RequestSize]int{}
 	const ticks, each = 500, 10
 	for range ticks {
 		for i := range f.arrived {
@@ -64,8 +64,8 @@
 		}
 		f.gate.allow(&f.arrived, f.most)
 		for range each {
-			for _, o := range []Offer{long, chatty} {
-				if f.gate.Crowds(o) == "" && f.gate.Admit(o) == "" {
+			for _, o := range []RequestSize{long, chatty} {
+				if f.gate.Check(o) == "" && f.gate.Admit(o) == "" {
 					read[o]++
 				}
 			}
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -27,8 +27,8 @@
 
 // Load is what requests put on a target, in tokens and requests.
 type Load struct {
-	// Unread is the number of prompt tokens sent and not yet read.
-	Unread int
+	// PendingTokens is the number of prompt tokens sent and not yet read.
+	PendingTokens int
 	// Running is the number of requests sent and not ended.
 	Running int
 	// Memory is the number of tokens of running requests that are theirs
@@ -38,25 +38,25 @@
 
 // Plus returns the sum of two loads.
 func (l Load) Plus(m Load) Load {
-	return Load{Unread: l.Unread + m.Unread, Running: l.Running + m.Running, Memory: l.Memory + m.Memory}
+	return Load{PendingTokens: l.PendingTokens + m.PendingTokens, Running: l.Running + m.Running, Memory: l.Memory + m.Memory}
 }
 
 // Minus returns what is left of a load without another.
 func (l Load) Minus(m Load) Load {
-	return Load{Unread: l.Unread - m.Unread, Running: l.Running - m.Running, Memory: l.Memory - m.Memory}
+	return Load{PendingTokens: l.PendingTokens - m.PendingTokens, Running: l.Running - m.Running, Memory: l.Memory - m.Memory}
 }
 
 // Usage is what an organisation asked for and got, in tokens, each token
 // counting less with its age (see Decay).
 type Usage struct {
-	Asked, Begun float64
+	Demand, Started float64
 	// Waiting is the number of its requests to engines that wait for room.
 	Waiting int
 }
 
-// Decay returns the part of a usage that is left after a time, for a quota
+// DecayFactor returns the part of a usage that is left after a time, for a quota
 // window: most of the weight lies within the window.
-func Decay(age, window time.Duration) float64 {
+func DecayFactor(age, window time.Duration) float64 {
 	return math.Exp(-2 * age.Seconds() / window.Seconds())
 }
 
@@ -64,12 +64,12 @@
 type Report struct {
 	Loads map[string]Load
 	Usage map[string]Usage
-	// Kept has, by target, shared parts of prompts that were sent there.
-	Kept map[string][]string
+	// SharedParts has, by target, shared parts of prompts that were sent there.
+	SharedParts map[string][]string
 }
 
-// Serving reports whether the router has requests or had some lately.
-func (r Report) Serving() bool { return len(r.Loads)+len(r.Usage) > 0 }
+// Active reports whether the router has requests or had some lately.
+func (r Report) Active() bool { return len(r.Loads)+len(r.Usage) > 0 }
 
 // router is what one router said last.
 type router struct {
@@ -121,8 +121,8 @@
 // SetPeriod says how much time is between a router's reports.
 func (v *View) SetPeriod(d time.Duration) { v.period = d }
 
-// Heard takes in a router's report, which replaces its last one.
-func (v *View) Heard(now time.Time, name string, r Report) {
+// UpdateReport takes in a router's report, which replaces its last one.
+func (v *View) UpdateReport(now time.Time, name string, r Report) {
 	v.decay(now)
 	old := v.routers[name]
 	if old != nil {
@@ -140,8 +140,8 @@
 	}
 }
 
-// Forget takes out all that a router said.
-func (v *View) Forget(now time.Time, name string) {
+// Remove takes out all that a router said.
+func (v *View) Remove(now time.Time, name string) {
 	r := v.routers[name]
 	if r == nil {
 		return
@@ -152,9 +152,9 @@
 	delete(v.routers, name)
 }
 
-// HeardLoad takes in what a router's requests now put on a target; it replaces
+// UpdateLoad takes in what a router's requests now put on a target; it replaces
 // what its last report said of that target.
-func (v *View) HeardLoad(now time.Time, name, target string, l Load) {
+func (v *View) UpdateLoad(now time.Time, name, target string, l Load) {
 	r := v.routers[name]
 	if r == nil {
 		return
@@ -169,7 +169,7 @@
 // AddLoad adds to what a router's requests put on a target, as it was last told.
 func (v *View) AddLoad(now time.Time, name, target string, l Load) {
 	if r := v.routers[name]; r != nil {
-		v.HeardLoad(now, name, target, r.loads[target].Plus(l))
+		v.UpdateLoad(now, name, target, r.loads[target].Plus(l))
 	}
 }
 
@@ -178,10 +178,10 @@
 func (v *View) Load(now time.Time, target string) (Load, time.Time) {
 	v.expire(now)
 	l := v.loads[target]
-	if l.Unread <= 0 {
+	if l.PendingTokens <= 0 {
 		return l.Load, now
 	}
-	return l.Load, v.start.Add(time.Duration(l.moment / float64(l.Unread) * float64(time.Second)))
+	return l.Load, v.start.Add(time.Duration(l.moment / float64(l.PendingTokens) * float64(time.Second)))
 }
 
 // Usage returns what an organisation asked for and got at all other routers.
@@ -191,8 +191,8 @@
 	return v.usage[organisation]
 }
 
-// Organisations calls f for each organisation that any other router told of.
-func (v *View) Organisations(now time.Time, f func(organisation string, u Usage)) {
+// EachOrganisation calls f for each organisation that any other router told of.
+func (v *View) EachOrganisation(now time.Time, f func(organisation string, u Usage)) {
 	v.expire(now)
 	v.decay(now)
 	for name, u := range v.usage {
@@ -200,8 +200,8 @@
 	}
 }
 
-// Routers returns the number of other routers that were heard lately.
-func (v *View) Routers() int { return len(v.routers) }
+// RouterCount returns the number of other routers that were heard lately.
+func (v *View) RouterCount() int { return len(v.routers) }
 
 // expire takes out what is too old.
 func (v *View) expire(now time.Time) {
@@ -242,12 +242,12 @@
 
 // dropUsage takes a router's usage out of the sums, which are as of now.
 func (v *View) dropUsage(now time.Time, r *router) {
-	left := Decay(now.Sub(r.at), v.window)
+	left := DecayFactor(now.Sub(r.at), v.window)
 	for organisation, u := range r.usage {
 		if !r.waits {
 			u.Waiting = 0
 		}
-		v.addUsage(organisation, Usage{Asked: u.Asked * left, Begun: u.Begun * left, Waiting: u.Waiting}, -1)
+		v.addUsage(organisation, Usage{Demand: u.Demand * left, Started: u.Started * left, Waiting: u.Waiting}, -1)
 	}
 }
 
@@ -259,7 +259,7 @@
 	} else {
 		l.Load = l.Minus(t.Load)
 	}
-	l.moment += float64(sign*t.Unread) * t.at.Sub(v.start).Seconds()
+	l.moment += float64(sign*t.PendingTokens) * t.at.Sub(v.start).Seconds()
 	if l.Load == (Load{}) {
 		delete(v.loads, target)
 		return
@@ -269,10 +269,10 @@
 
 func (v *View) addUsage(organisation string, u Usage, sign int) {
 	sum := v.usage[organisation]
-	sum.Asked = max(sum.Asked+float64(sign)*u.Asked, 0)
-	sum.Begun = max(sum.Begun+float64(sign)*u.Begun, 0)
+	sum.Demand = max(sum.Demand+float64(sign)*u.Demand, 0)
+	sum.Started = max(sum.Started+float64(sign)*u.Started, 0)
 	sum.Waiting += sign * u.Waiting
-	if sum.Waiting == 0 && sum.Asked < negligible && sum.Begun < negligible {
+	if sum.Waiting == 0 && sum.Demand < negligible && sum.Started < negligible {
 		delete(v.usage, organisation)
 		return
 	}
@@ -287,11 +287,11 @@
 	if !now.After(v.decayed) {
 		return
 	}
-	left := Decay(now.Sub(v.decayed), v.window)
+	left := DecayFactor(now.Sub(v.decayed), v.window)
 	v.decayed = now
 	for name, u := range v.usage {
-		u.Asked *= left
-		u.Begun *= left
+		u.Demand *= left
+		u.Started *= left
 		v.usage[name] = u
 	}
 }
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -43,8 +43,8 @@
 			continue
 		}
 		u := r.what.Usage[organisation]
-		sum.Asked += u.Asked * view.Decay(age, window)
-		sum.Begun += u.Begun * view.Decay(age, window)
+		sum.Demand += u.Demand * view.DecayFactor(age, window)
+		sum.Started += u.Started * view.DecayFactor(age, window)
 		if age < 250*time.Millisecond {
 			sum.Waiting += u.Waiting
 		}
@@ -58,7 +58,7 @@
 
 func drawLoad(t *rapid.T) view.Load {
 	return view.Load{
-		Unread: rapid.IntRange(0, 50_000).Draw(t, "unread"), Running: rapid.IntRange(0, 9).Draw(t, "running"),
+		PendingTokens: rapid.IntRange(0, 50_000).Draw(t, "unread"), Running: rapid.IntRange(0, 9).Draw(t, "running"),
 		Memory: rapid.IntRange(0, 99_999).Draw(t, "memory"),
 	}
 }
@@ -70,7 +70,7 @@
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "usages") {
 		r.Usage[name(t, "organisation", 3)] = view.Usage{
-			Asked: rapid.Float64Range(0, 1e6).Draw(t, "asked"), Begun: rapid.Float64Range(0, 1e6).Draw(t, "begun"),
+			Demand: rapid.Float64Range(0, 1e6).Draw(t, "asked"), Started: rapid.Float64Range(0, 1e6).Draw(t, "begun"),
 			Waiting: rapid.IntRange(0, 30).Draw(t, "waiting"),
 		}
 	}
@@ -92,7 +92,7 @@
 			},
 			"report": func(t *rapid.T) {
 				router, r := name(t, "router", 3), drawReport(t)
-				v.Heard(now, router, r)
+				v.UpdateReport(now, router, r)
 				n.reports[router] = said[view.Report]{r, now}
 				n.loads[router] = map[string]said[view.Load]{}
 				for target, l := range r.Loads {
@@ -105,7 +105,7 @@
 				if !known || now.Sub(r.at) >= 1500*time.Millisecond {
 					t.Skip("a router that was not heard lately")
 				}
-				v.HeardLoad(now, router, target, l)
+				v.UpdateLoad(now, router, target, l)
 				n.loads[router][target] = said[view.Load]{l, now}
 			},
 			"added": func(t *rapid.T) {
@@ -126,14 +126,14 @@
 					if want := n.load(now, target); got != want {
 						t.Fatalf("load of %s is %+v, want %+v", target, got, want)
 					}
-					if at.After(now) || got.Unread > 0 && now.Sub(at) > 1501*time.Millisecond {
+					if at.After(now) || got.PendingTokens > 0 && now.Sub(at) > 1501*time.Millisecond {
 						t.Fatalf("load of %s was told at %v, now is %v", target, at, now)
 					}
 				}
 				for i := range 3 {
 					organisation := fmt.Sprint("organisation", i)
 					got, want := v.Usage(now, organisation), n.usage(now, organisation)
-					if !near(got.Asked, want.Asked) || !near(got.Begun, want.Begun) || got.Waiting != want.Waiting {
+					if !near(got.Demand, want.Demand) || !near(got.Started, want.Started) || got.Waiting != want.Waiting {
 						t.Fatalf("usage of %s is %+v, want %+v", organisation, got, want)
 					}
 				}
@@ -145,10 +145,10 @@
 func TestMeanTime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	v := view.New(now, window)
-	v.Heard(now, "a", view.Report{Loads: map[string]view.Load{"t": {Unread: 1000}}})
-	v.Heard(now.Add(100*time.Millisecond), "b", view.Report{Loads: map[string]view.Load{"t": {Unread: 3000}}})
+	v.UpdateReport(now, "a", view.Report{Loads: map[string]view.Load{"t": {PendingTokens: 1000}}})
+	v.UpdateReport(now.Add(100*time.Millisecond), "b", view.Report{Loads: map[string]view.Load{"t": {PendingTokens: 3000}}})
 	l, at := v.Load(now.Add(200*time.Millisecond), "t")
-	if want := now.Add(75 * time.Millisecond); l.Unread != 4000 || at.Sub(want).Abs() > time.Microsecond {
-		t.Errorf("%d unread tokens told at %v, want 4000 at %v", l.Unread, at, want)
+	if want := now.Add(75 * time.Millisecond); l.PendingTokens != 4000 || at.Sub(want).Abs() > time.Microsecond {
+		t.Errorf("%d unread tokens told at %v, want 4000 at %v", l.PendingTokens, at, want)
 	}
 }
--- a/internal/zonesum/zonesum.go
+++ b/internal/zonesum/zonesum.go
@@ -38,8 +38,8 @@
 	at time.Time
 }
 
-// Heard takes in a router's report, which replaces its last one.
-func (s *Sum) Heard(now time.Time, id message.RouterID, m message.Status) {
+// UpdateReport takes in a router's report, which replaces its last one.
+func (s *Sum) UpdateReport(now time.Time, id message.RouterID, m message.Status) {
 	if s.reports == nil {
 		s.reports, s.kept = map[message.RouterID]report{}, map[string][]string{}
 	}
@@ -49,8 +49,8 @@
 	}
 }
 
-// HeardLoads takes in what a router's requests now put on some targets.
-func (s *Sum) HeardLoads(id message.RouterID, list []message.TargetLoad) {
+// UpdateLoads takes in what a router's requests now put on some targets.
+func (s *Sum) UpdateLoads(id message.RouterID, list []message.TargetLoad) {
 	r, ok := s.reports[id]
 	if !ok {
 		return
@@ -101,14 +101,14 @@
 	return out
 }
 
-// Drop forgets the shared parts told so far: another router tells them, or all tell
+// DiscardParts forgets the shared parts told so far: another router tells them, or all tell
 // one another.
-func (s *Sum) Drop() { clear(s.kept) }
+func (s *Sum) DiscardParts() { clear(s.kept) }
 
-// Relay returns which of the serving routers of a zone tells its sum, or false if
+// SelectRelay returns which of the serving routers of a zone tells its sum, or false if
 // there are none: the first by rendezvous hashing of the large ones that answer.
 // All that know the same routers name the same, and nobody is elected.
-func Relay(zone string, serving []message.RouterRecord) (message.RouterRecord, bool) {
+func SelectRelay(zone string, serving []message.RouterRecord) (message.RouterRecord, bool) {
 	var list []message.RouterRecord
 	largest := 0.0
 	for _, r := range serving {
--- a/internal/zonesum/zonesum_test.go
+++ b/internal/zonesum/zonesum_test.go
@@ -15,8 +15,8 @@
 
 var start = time.Unix(1000, 0)
 
-// TestAgainstAddingUp compares sums with adding up all that was said last.
-func TestAgainstAddingUp(t *testing.T) {
+// TestAgainstRecomputation compares sums with adding up all that was said last.
+func TestAgainstRecomputation(t *testing.T) {
 	type said struct {
 		message.Status
 		at time.Duration
@@ -31,11 +31,11 @@
 			id := message.RouterID(fmt.Sprint("r", rapid.IntRange(0, 4).Draw(t, "router")))
 			m := draw(t)
 			all[id] = said{m, now}
-			s.Heard(start.Add(now), id, m)
+			s.UpdateReport(start.Add(now), id, m)
 			told = append(told, parts(m)...)
 			if rapid.Bool().Draw(t, "load") {
 				l := message.TargetLoad{Target: "t1", Unread: rapid.IntRange(0, 9).Draw(t, "unread"), Running: 1}
-				s.HeardLoads(id, []message.TargetLoad{l})
+				s.UpdateLoads(id, []message.TargetLoad{l})
 				m.Loads = append(slices.DeleteFunc(slices.Clone(m.Loads), func(old message.TargetLoad) bool { return old.Target == "t1" }), l)
 				all[id] = said{m, now}
 			}
@@ -123,12 +123,12 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got, ok := zonesum.Relay("z", test.list)
+			got, ok := zonesum.SelectRelay("z", test.list)
 			if ok != (len(test.want) > 0) || ok && !slices.Contains(test.want, got.ID) {
 				t.Errorf("relay is %q, want one of %v", got.ID, test.want)
 			}
 			slices.Reverse(test.list)
-			if again, _ := zonesum.Relay("z", test.list); again.ID != got.ID {
+			if again, _ := zonesum.SelectRelay("z", test.list); again.ID != got.ID {
 				t.Errorf("relay is %q and, in another order, %q", got.ID, again.ID)
 			}
 		})
