--- a/internal/forward/advice.go
+++ b/internal/forward/advice.go
@@ -63,7 +63,7 @@
 		}
 		x.log.Info("target asks for a rest", "target", to.ID, "rest_ms", d.Milliseconds(), "id", x.ID)
 		x.counts.Advised(AdviceRest)
-		if d > advice.RestMost {
+		if d > advice.MaxBackoff {
 			x.counts.Advised(AdviceRestBounded)
 		}
 	})
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -44,7 +44,7 @@
 
 // Crowded returns the reason to reject a request of an organisation to engines before it is
 // parsed, because the organisation sends more than the router can take in, or "" to read it.
-func (f *Forwarder) Crowded(organisation string, o throttle.Offer) Reason {
+func (f *Forwarder) Crowded(organisation string, o throttle.RequestSize) Reason {
 	return Reason(f.loop.Crowded(organisation, o))
 }
 
@@ -56,7 +56,7 @@
 
 // Admit admits a request of an organisation to engines and returns "", or returns the reason
 // to reject it.
-func (f *Forwarder) Admit(organisation string, o throttle.Offer) Reason {
+func (f *Forwarder) Admit(organisation string, o throttle.RequestSize) Reason {
 	return Reason(f.loop.Admit(organisation, o))
 }
 
