--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -80,7 +80,7 @@
 // activeRequest is a request that this router has sent to an engine.
 type activeRequest struct {
 	owner  member.Member
-	use    place.Use
+	use    place.Allocation
 	remote bool
 	// substituted is set if the slot was granted for one organisation and this
 	// router used it for another. The latter is charged here and not by the owner.
@@ -247,7 +247,7 @@
 		return nil
 	}
 	if end.Failed {
-		s.slots.Broken(u.Engine)
+		s.slots.MarkUnreachable(u.Engine)
 	}
 	p := s.pools[u.Pool]
 	cost := p.finalCost(end, now.Sub(u.Since))
@@ -262,12 +262,12 @@
 
 // Loaded records the load that an engine reported.
 func (s *State) Loaded(engine string, load port.EngineLoad, now time.Time) {
-	s.slots.Answered(engine, load, now)
+	s.slots.RecordLoad(engine, load, now)
 	s.dispatchAll(now)
 }
 
 // Unreachable records that an engine did not answer.
-func (s *State) Unreachable(engine string) { s.slots.Broken(engine) }
+func (s *State) Unreachable(engine string) { s.slots.MarkUnreachable(engine) }
 
 // Owned returns the boxes of the engines that this router owns.
 func (s *State) Owned() []config.Box { return s.slots.Owned() }
--- a/internal/control/dispatch.go
+++ b/internal/control/dispatch.go
@@ -188,7 +188,7 @@
 	if !ok {
 		return
 	}
-	u, ok := s.slots.Take(place.Use{
+	u, ok := s.slots.Allocate(place.Allocation{
 		Pool:         p.name,
 		Holder:       s.members.Self().ID,
 		Organisation: organisation,
@@ -226,7 +226,7 @@
 	if !ok {
 		return
 	}
-	u, ok := s.slots.Take(place.Use{
+	u, ok := s.slots.Allocate(place.Allocation{
 		Pool:         p.name,
 		Holder:       holder,
 		Organisation: organisation,
@@ -264,7 +264,7 @@
 		owner:       from,
 		remote:      true,
 		substituted: t.Organisation() != g.Organisation,
-		use: place.Use{
+		use: place.Allocation{
 			Slot:         g.Slot,
 			Engine:       g.Engine,
 			Address:      box.Address,
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -41,7 +41,7 @@
 	case message.Idle:
 		s.handleIdle(from, m)
 	case message.Held:
-		s.slots.Foreign(m.Engine, from.ID, m.Foreign, now, s.options.Timeout)
+		s.slots.SetForeign(m.Engine, from.ID, m.Foreign, now, s.options.Timeout)
 	}
 }
 
@@ -55,7 +55,7 @@
 // still hold them, as the message that ends the use may have been lost.
 func (s *State) audit(now time.Time) {
 	slots := map[message.RouterID][]uint64{}
-	for _, u := range s.slots.Overdue(s.members.Self().ID, now) {
+	for _, u := range s.slots.DueForAudit(s.members.Self().ID, now) {
 		slots[u.Holder] = append(slots[u.Holder], u.Slot)
 	}
 	for holder, list := range slots {
@@ -169,7 +169,7 @@
 		}
 		s.remoteOwners[box.Pool] = append(s.remoteOwners[box.Pool], owner.ID)
 	}
-	s.slots.Own(owned, now)
+	s.slots.SetOwned(owned, now)
 	s.setSlotRanges()
 }
 
@@ -236,7 +236,7 @@
 
 func (s *State) sendForeign(key foreignKey, n int, now time.Time) {
 	if key.owner == s.members.Self().ID {
-		s.slots.Foreign(key.engine, key.owner, n, now, s.options.Timeout)
+		s.slots.SetForeign(key.engine, key.owner, n, now, s.options.Timeout)
 		return
 	}
 	if to, ok := s.members.Lookup(key.owner); ok {
--- a/internal/member/standing.go
+++ b/internal/member/standing.go
@@ -27,7 +27,7 @@
 func NewStanding(key string, id message.RouterID, zone string) *Standing {
 	hash := rendezvous.Hash(key)
 	return &Standing{
-		id: id, zone: zone, keyHash: hash, weight: rendezvous.WeightOf(hash, rendezvous.Hash(string(id))),
+		id: id, zone: zone, keyHash: hash, weight: rendezvous.WeightFromHashes(hash, rendezvous.Hash(string(id))),
 		zones: map[string]zoneCount{},
 	}
 }
@@ -39,7 +39,7 @@
 	}
 	z := s.zones[zone]
 	z.total++
-	if rendezvous.WeightOf(s.keyHash, rendezvous.Hash(string(id))) > s.weight {
+	if rendezvous.WeightFromHashes(s.keyHash, rendezvous.Hash(string(id))) > s.weight {
 		z.before++
 	}
 	s.zones[zone] = z
