--- a/internal/control/dispatch.go
+++ b/internal/control/dispatch.go
@@ -70,7 +70,7 @@
 	if p == nil {
 		return
 	}
-	s.view.Asked(from.ID, m.Pool, m.Organisation, m.Waiting)
+	s.view.RecordAsk(from.ID, m.Pool, m.Organisation, m.Waiting)
 	full := s.slots.Free(p.name, now) == 0
 	s.dispatch(p, now)
 	if full && m.Free {
@@ -85,7 +85,7 @@
 	if p == nil {
 		return
 	}
-	s.view.Free(from.ID, m.Pool, m.Free)
+	s.view.SetFree(from.ID, m.Pool, m.Free)
 	if m.Free == 0 && !s.view.AnyFree(m.Pool) {
 		return
 	}
@@ -107,7 +107,7 @@
 		index[c.Organisation] = i
 	}
 	var rest []fair.Candidate
-	s.view.Remote(p.name, func(name string, waiting, quota int) {
+	s.view.EachRemote(p.name, func(name string, waiting, quota int) {
 		if i, ok := index[name]; ok {
 			list[i].Remote = waiting
 			return
@@ -218,7 +218,7 @@
 // requests of an organisation wait. Each call counts one of them as taken, also
 // if that router turns out to be unknown, so that the loop in dispatch ends.
 func (s *State) grantSlot(p *pool, organisation string, now time.Time) {
-	holder, ok := s.view.Holder(p.name, organisation)
+	holder, ok := s.view.PickHolder(p.name, organisation)
 	if !ok {
 		return
 	}
@@ -337,7 +337,7 @@
 	if p.policy.Reach() == fair.ReachLocal {
 		return
 	}
-	id, free := s.view.FreeOwner(p.name)
+	id, free := s.view.PickFreeRouter(p.name)
 	ok := free
 	if !ok && p.policy.Reach() == fair.ReachFleet &&
 		(p.queue.Len(organisation) <= maxQueueToAsk || p.policy.Urgent(organisation)) {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -87,7 +87,7 @@
 	if !m.Unknown {
 		p.charge(u.Organisation, -u.Charged)
 	}
-	s.view.Waiting(from.ID, p.name, u.Organisation, 0)
+	s.view.SetWaiting(from.ID, p.name, u.Organisation, 0)
 	s.dispatch(p, now)
 }
 
@@ -98,7 +98,7 @@
 		return
 	}
 	p.learnCost(m.Organisation, 0, end)
-	s.view.Waiting(from.ID, p.name, m.Organisation, m.Waiting)
+	s.view.SetWaiting(from.ID, p.name, m.Organisation, m.Waiting)
 	s.dispatch(p, now)
 }
 
@@ -107,7 +107,7 @@
 		s.delayedReports = append(s.delayedReports, delayedReport{now, from.ID, r})
 		return
 	}
-	if s.view.Report(from.ID, r, now) {
+	if s.view.ApplyReport(from.ID, r, now) {
 		s.dispatchAll(now)
 	}
 }
@@ -132,7 +132,7 @@
 	for len(s.delayedReports) > 0 && now.Sub(s.delayedReports[0].receivedAt) >= s.options.ViewDelay {
 		d := s.delayedReports[0]
 		s.delayedReports = s.delayedReports[1:]
-		s.view.Report(d.from, d.report, d.receivedAt)
+		s.view.ApplyReport(d.from, d.report, d.receivedAt)
 	}
 }
 
@@ -193,7 +193,7 @@
 	}
 	for pool, c := range counts {
 		all := float64(c.all)
-		s.view.Own(pool, float64(c.before)/all, float64(c.before+c.owned)/all)
+		s.view.SetSlotRange(pool, float64(c.before)/all, float64(c.before+c.owned)/all)
 	}
 }
 
@@ -256,7 +256,7 @@
 		}
 	}
 	p.observedService = totals
-	s.view.Drain(p.name, func(name string, served float64, backlogged bool) {
+	s.view.DrainServed(p.name, func(name string, served float64, backlogged bool) {
 		st := standings[name]
 		st.Served += served
 		st.Backlogged = st.Backlogged || backlogged
--- a/internal/fleetview/fleetview.go
+++ b/internal/fleetview/fleetview.go
@@ -51,7 +51,7 @@
 }
 
 type organisation struct {
-	// served is the service in cost units since the last call of Drain.
+	// served is the service in cost units since the last call of DrainServed.
 	served  float64
 	waiting map[message.RouterID]work
 	// total is the sum over waiting.
@@ -78,10 +78,10 @@
 	return &View{random: r, routers: map[message.RouterID]*router{}, pools: map[string]*pool{}}
 }
 
-// Report merges a router's report and reports whether it was used. Reports
+// ApplyReport merges a router's report and reports whether it was used. Reports
 // that arrive out of order or twice are dropped, and so are those of an
 // earlier incarnation.
-func (v *View) Report(from message.RouterID, r message.Report, now time.Time) bool {
+func (v *View) ApplyReport(from message.RouterID, r message.Report, now time.Time) bool {
 	known := v.routers[from]
 	if known != nil && r.Incarnation < known.incarnation {
 		return false
@@ -163,9 +163,9 @@
 	return o
 }
 
-// Own sets the local router's part of a pool's slots, as the range that it
+// SetSlotRange sets the local router's part of a pool's slots, as the range that it
 // covers if the parts of all owners are laid end to end from 0 to 1.
-func (v *View) Own(pool string, from, to float64) {
+func (v *View) SetSlotRange(pool string, from, to float64) {
 	p := v.pool(pool)
 	p.rangeFrom, p.rangeTo = from, to
 }
@@ -182,16 +182,16 @@
 	return int(float64(n)*p.rangeTo+shift) - int(float64(n)*p.rangeFrom+shift)
 }
 
-// Waiting sets the number of an organisation's requests that wait at a router,
+// SetWaiting sets the number of an organisation's requests that wait at a router,
 // as received in a message other than a report.
-func (v *View) Waiting(id message.RouterID, pool, organisation string, n int) {
+func (v *View) SetWaiting(id message.RouterID, pool, organisation string, n int) {
 	quota := v.organisation(pool, organisation).waiting[id].quota
 	v.setWork(id, pool, organisation, work{n, min(quota, n)})
 }
 
-// Asked records that a router asked the local router for a slot, and has n
+// RecordAsk records that a router asked the local router for a slot, and has n
 // requests of the organisation waiting. It raises the quota by one.
-func (v *View) Asked(id message.RouterID, pool, organisation string, n int) {
+func (v *View) RecordAsk(id message.RouterID, pool, organisation string, n int) {
 	quota := v.organisation(pool, organisation).waiting[id].quota
 	v.setWork(id, pool, organisation, work{n, min(quota+1, n)})
 }
@@ -206,12 +206,12 @@
 	o.waiting[id] = w
 }
 
-// Free sets the number of free slots of a pool that a router has.
-func (v *View) Free(id message.RouterID, pool string, n int) { v.pool(pool).free[id] = n }
+// SetFree sets the number of free slots of a pool that a router has.
+func (v *View) SetFree(id message.RouterID, pool string, n int) { v.pool(pool).free[id] = n }
 
-// Remote calls f with each organisation that has requests waiting at other
+// EachRemote calls f with each organisation that has requests waiting at other
 // routers, their number, and the local router's quota of them.
-func (v *View) Remote(pool string, f func(organisation string, waiting, quota int)) {
+func (v *View) EachRemote(pool string, f func(organisation string, waiting, quota int)) {
 	p := v.pools[pool]
 	if p == nil {
 		return
@@ -223,10 +223,10 @@
 	}
 }
 
-// Holder picks a router at which requests of an organisation wait, and counts
+// PickHolder picks a router at which requests of an organisation wait, and counts
 // one of them as taken. The choice is random, weighted by the local router's
 // quotas or, once these are used up, by the requests waiting.
-func (v *View) Holder(pool, organisation string) (message.RouterID, bool) {
+func (v *View) PickHolder(pool, organisation string) (message.RouterID, bool) {
 	o := v.organisation(pool, organisation)
 	weight, total := func(w work) int { return w.quota }, o.total.quota
 	if total <= 0 {
@@ -261,9 +261,9 @@
 	return false
 }
 
-// FreeOwner picks at random a router that has a free slot as far as is known,
+// PickFreeRouter picks at random a router that has a free slot as far as is known,
 // and counts that slot as taken.
-func (v *View) FreeOwner(pool string) (message.RouterID, bool) {
+func (v *View) PickFreeRouter(pool string) (message.RouterID, bool) {
 	p := v.pools[pool]
 	if p == nil {
 		return "", false
@@ -282,9 +282,9 @@
 	return id, true
 }
 
-// Drain calls f with each organisation, what the other routers have served it
-// since the last call of Drain, and whether any of them reported a backlog.
-func (v *View) Drain(pool string, f func(organisation string, served float64, backlogged bool)) {
+// DrainServed calls f with each organisation, what the other routers have served it
+// since the last call of DrainServed, and whether any of them reported a backlog.
+func (v *View) DrainServed(pool string, f func(organisation string, served float64, backlogged bool)) {
 	p := v.pools[pool]
 	if p == nil {
 		return
--- a/internal/fleetview/fleetview_test.go
+++ b/internal/fleetview/fleetview_test.go
@@ -34,7 +34,7 @@
 }
 
 func drained(v *fleetview.View) (served float64, backlogged bool) {
-	v.Drain("p", func(_ string, s float64, b bool) { served, backlogged = s, b })
+	v.DrainServed("p", func(_ string, s float64, b bool) { served, backlogged = s, b })
 	return served, backlogged
 }
 
@@ -43,7 +43,7 @@
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			g := NewWithT(t)
 			v := fleetview.New(rand.New(rand.NewPCG(1, 1)))
-			v.Report("r1", report(1, 1, 0, 0), start)
+			v.ApplyReport("r1", report(1, 1, 0, 0), start)
 			// Reports of two incarnations, whose counters each start at zero.
 			var sent []message.Report
 			last := map[uint64]uint64{}
@@ -60,7 +60,7 @@
 			current := uint64(1)
 			for range 2 * len(sent) {
 				r := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "delivered")]
-				v.Report("r1", r, start)
+				v.ApplyReport("r1", r, start)
 				if r.Incarnation >= current {
 					current = r.Incarnation
 					newest[current] = max(newest[current], r.Pools[0].Organisations[0].Service)
@@ -74,18 +74,18 @@
 
 	It("does not count an organisation's first counter if the router's first reports were missed", func() {
 		v := fleetview.New(rand.New(rand.NewPCG(1, 1)))
-		v.Report("r1", message.Report{Incarnation: 1, Sequence: 5}, start)
-		v.Report("r1", report(1, 6, 1000, 0), start)
+		v.ApplyReport("r1", message.Report{Incarnation: 1, Sequence: 5}, start)
+		v.ApplyReport("r1", report(1, 6, 1000, 0), start)
 		served, _ := drained(v)
 		Expect(served).To(BeZero())
-		v.Report("r1", report(1, 7, 1010, 0), start)
+		v.ApplyReport("r1", report(1, 7, 1010, 0), start)
 		served, _ = drained(v)
 		Expect(served).To(BeNumerically("==", 10))
 	})
 
 	It("does not count the service in the first report received of a router that started earlier", func() {
 		v := fleetview.New(rand.New(rand.NewPCG(1, 1)))
-		v.Report("r1", report(1, 5, 1000, 3), start)
+		v.ApplyReport("r1", report(1, 5, 1000, 3), start)
 		served, backlogged := drained(v)
 		Expect(served).To(BeZero())
 		Expect(backlogged).To(BeTrue())
@@ -93,21 +93,21 @@
 
 	It("drops the waiting requests of a dead router, but not what it served", func() {
 		v := fleetview.New(rand.New(rand.NewPCG(1, 1)))
-		v.Report("r1", report(1, 1, 0, 3), start)
-		v.Report("r1", report(1, 2, 50, 3), start)
+		v.ApplyReport("r1", report(1, 1, 0, 3), start)
+		v.ApplyReport("r1", report(1, 2, 50, 3), start)
 		v.Forget("r1")
 		served, backlogged := drained(v)
 		Expect(served).To(BeNumerically("==", 50))
 		Expect(backlogged).To(BeFalse())
-		_, ok := v.Holder("p", "o")
+		_, ok := v.PickHolder("p", "o")
 		Expect(ok).To(BeFalse())
 	})
 
 	It("has the mean age of its reports, without those of dead routers", func() {
 		v := fleetview.New(rand.New(rand.NewPCG(1, 1)))
 		Expect(v.Age(start)).To(BeZero())
-		v.Report("r1", report(1, 1, 0, 0), start)
-		v.Report("r2", report(1, 1, 0, 0), start.Add(2*time.Second))
+		v.ApplyReport("r1", report(1, 1, 0, 0), start)
+		v.ApplyReport("r2", report(1, 1, 0, 0), start.Add(2*time.Second))
 		Expect(v.Age(start.Add(3 * time.Second))).To(Equal(2 * time.Second))
 		v.Forget("r1")
 		Expect(v.Age(start.Add(3 * time.Second))).To(Equal(time.Second))
@@ -115,11 +115,11 @@
 
 	It("picks each holder once for each of its waiting requests", func() {
 		v := fleetview.New(rand.New(rand.NewPCG(1, 1)))
-		v.Report("r1", report(1, 1, 0, 2), start)
-		v.Report("r2", report(1, 1, 0, 5), start)
+		v.ApplyReport("r1", report(1, 1, 0, 2), start)
+		v.ApplyReport("r2", report(1, 1, 0, 5), start)
 		counts := map[message.RouterID]int{}
 		for range 10 {
-			if id, ok := v.Holder("p", "o"); ok {
+			if id, ok := v.PickHolder("p", "o"); ok {
 				counts[id]++
 			}
 		}
