--- a/internal/control/dispatch.go
+++ b/internal/control/dispatch.go
@@ -33,7 +33,7 @@
 			return
 		}
 		c := candidates[p.policy.Pick(candidates)]
-		if c.Local > 0 {
+		if c.LocalWaiting > 0 {
 			s.startLocal(p, c.Organisation, now)
 			continue
 		}
@@ -99,7 +99,7 @@
 func (s *State) candidates(p *pool) []fair.Candidate {
 	list := s.localCandidates(p)
 	reach := p.policy.Reach()
-	if reach == fair.ReachLocal || reach == fair.ReachIdle && len(list) > 0 {
+	if reach == fair.ReachLocal || reach == fair.ReachLocalFirst && len(list) > 0 {
 		return list
 	}
 	index := make(map[string]int, len(list))
@@ -109,14 +109,14 @@
 	var rest []fair.Candidate
 	s.view.EachRemote(p.name, func(name string, waiting, quota int) {
 		if i, ok := index[name]; ok {
-			list[i].Remote = waiting
+			list[i].RemoteWaiting = waiting
 			return
 		}
 		o, ok := s.snapshot.Organisation(name)
 		if !ok {
 			return
 		}
-		c := fair.Candidate{Organisation: name, Weight: o.Weight, Remote: waiting}
+		c := fair.Candidate{Organisation: name, Weight: o.Weight, RemoteWaiting: waiting}
 		if quota > 0 || p.policy.Urgent(name) {
 			list = append(list, c)
 			return
@@ -133,7 +133,7 @@
 
 func (s *State) localCandidates(p *pool) []fair.Candidate {
 	var list []fair.Candidate
-	p.queue.Each(func(name string, waiting int) {
+	p.queue.EachOrganisation(func(name string, waiting int) {
 		o, ok := s.snapshot.Organisation(name)
 		if !ok {
 			// The organisation was deleted, but its waiting requests still run.
@@ -144,10 +144,10 @@
 		}
 		first, _ := p.queue.Peek(name)
 		list = append(list, fair.Candidate{
-			Organisation: name,
-			Weight:       o.Weight,
-			Local:        waiting,
-			Oldest:       first.Arrived(),
+			Organisation:  name,
+			Weight:        o.Weight,
+			LocalWaiting:  waiting,
+			OldestArrival: first.Arrived(),
 		})
 	})
 	return list
@@ -157,7 +157,7 @@
 // limit on requests in progress.
 func (s *State) anyRunningLimit(p *pool) bool {
 	limited := false
-	p.queue.Each(func(name string, _ int) {
+	p.queue.EachOrganisation(func(name string, _ int) {
 		o, _ := s.snapshot.Organisation(name)
 		limited = limited || o.Limits.Running > 0
 	})
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -248,23 +248,23 @@
 // pool.
 func (s *State) updatePolicy(p *pool, now time.Time) {
 	totals := p.serviceTotals()
-	standings := map[string]fair.Standing{}
+	states := map[string]fair.OrganisationState{}
 	for name, total := range totals {
-		standings[name] = fair.Standing{
+		states[name] = fair.OrganisationState{
 			Served:     float64(total - p.observedService[name]),
 			Backlogged: s.backlogged(p, name, now),
 		}
 	}
 	p.observedService = totals
 	s.view.DrainServed(p.name, func(name string, served float64, backlogged bool) {
-		st := standings[name]
+		st := states[name]
 		st.Served += served
 		st.Backlogged = st.Backlogged || backlogged
-		standings[name] = st
+		states[name] = st
 	})
-	list := make([]fair.Standing, 0, len(standings))
-	for _, name := range slices.Sorted(maps.Keys(standings)) {
-		st := standings[name]
+	list := make([]fair.OrganisationState, 0, len(states))
+	for _, name := range slices.Sorted(maps.Keys(states)) {
+		st := states[name]
 		o, ok := s.snapshot.Organisation(name)
 		if !ok {
 			continue
@@ -272,7 +272,7 @@
 		st.Organisation, st.Weight = name, o.Weight
 		list = append(list, st)
 	}
-	p.policy.Observe(fair.View{Standings: list, Age: float64(s.view.Age(now)) / float64(s.options.Period)})
+	p.policy.Observe(fair.View{Organisations: list, Age: float64(s.view.Age(now)) / float64(s.options.Period)})
 }
 
 // backlogged reports whether the first request in an organisation's queue at
--- a/internal/control/pool.go
+++ b/internal/control/pool.go
@@ -67,7 +67,7 @@
 		// reports must never decrease.
 		totals[name] = max(uint64(max(total, 0)), p.observedService[name])
 	}
-	p.queue.Each(func(name string, _ int) {
+	p.queue.EachOrganisation(func(name string, _ int) {
 		if _, ok := totals[name]; !ok {
 			totals[name] = 0
 		}
--- a/internal/fair/fair.go
+++ b/internal/fair/fair.go
@@ -23,8 +23,8 @@
 const (
 	// ReachLocal serves only requests that wait at this router.
 	ReachLocal Reach = iota
-	// ReachIdle serves other routers' requests only when none wait here.
-	ReachIdle
+	// ReachLocalFirst serves other routers' requests only when none wait here.
+	ReachLocalFirst
 	// ReachFleet treats requests alike wherever they wait.
 	ReachFleet
 )
@@ -33,16 +33,16 @@
 type Candidate struct {
 	Organisation string
 	Weight       float64
-	// Local is the number of requests that wait at this router.
-	Local int
-	// Remote is the number that wait at other routers, as last reported.
-	Remote int
-	// Oldest is when the longest-waiting local request arrived.
-	Oldest time.Time
+	// LocalWaiting is the number of requests that wait at this router.
+	LocalWaiting int
+	// RemoteWaiting is the number that wait at other routers, as last reported.
+	RemoteWaiting int
+	// OldestArrival is when the longest-waiting local request arrived.
+	OldestArrival time.Time
 }
 
-// Standing is the state of one organisation in a pool according to the fleet view.
-type Standing struct {
+// OrganisationState is what the fleet view holds of one organisation in a pool.
+type OrganisationState struct {
 	Organisation string
 	Weight       float64
 	// Served is the number of cost units served since the last view.
@@ -53,7 +53,7 @@
 
 // View is the state of the fleet as known to a router.
 type View struct {
-	Standings []Standing
+	Organisations []OrganisationState
 	// Age is the age of the view, in intervals between two views.
 	Age float64
 }
@@ -85,7 +85,7 @@
 var registry = map[string]constructor{
 	"fifo":   func(*rand.Rand) Policy { return newFIFO() },
 	"local":  func(*rand.Rand) Policy { return newLeastServed(ReachLocal) },
-	"steal":  func(*rand.Rand) Policy { return newLeastServed(ReachIdle) },
+	"steal":  func(*rand.Rand) Policy { return newLeastServed(ReachLocalFirst) },
 	"greedy": func(*rand.Rand) Policy { return newGreedy() },
 	"share":  func(r *rand.Rand) Policy { return newShare(r) },
 }
--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -33,8 +33,8 @@
 		return
 	}
 	candidates := []fair.Candidate{
-		{Organisation: "heating", Weight: 1, Local: 5},
-		{Organisation: "water", Weight: 2, Local: 5},
+		{Organisation: "heating", Weight: 1, LocalWaiting: 5},
+		{Organisation: "water", Weight: 2, LocalWaiting: 5},
 	}
 	for range 6 {
 		c := candidates[policy.Pick(candidates)]
@@ -125,7 +125,7 @@
 	}
 	candidates := make([]fair.Candidate, organisations)
 	for i := range candidates {
-		candidates[i] = fair.Candidate{Organisation: fmt.Sprint(i), Weight: float64(1 + i%3), Local: 9, Remote: 9}
+		candidates[i] = fair.Candidate{Organisation: fmt.Sprint(i), Weight: float64(1 + i%3), LocalWaiting: 9, RemoteWaiting: 9}
 	}
 	served := make([]float64, organisations)
 	viewed := make([]float64, organisations)
@@ -150,13 +150,13 @@
 
 func observeAll(policies []fair.Policy, candidates []fair.Candidate, served, viewed []float64) {
 	for _, p := range policies {
-		var standings []fair.Standing
+		var states []fair.OrganisationState
 		for i, c := range candidates {
-			standings = append(standings, fair.Standing{
+			states = append(states, fair.OrganisationState{
 				Organisation: c.Organisation, Weight: c.Weight, Served: served[i] - viewed[i], Backlogged: true,
 			})
 		}
-		p.Observe(fair.View{Standings: standings})
+		p.Observe(fair.View{Organisations: states})
 	}
 	copy(viewed, served)
 }
@@ -183,8 +183,8 @@
 		for _, name := range []string{"local", "steal", "share"} {
 			p, err := fair.New(name, rand.New(rand.NewPCG(1, 1)))
 			Expect(err).NotTo(HaveOccurred())
-			a := fair.Candidate{Organisation: "a", Weight: 1, Local: 1}
-			b := fair.Candidate{Organisation: "b", Weight: 1, Local: 1}
+			a := fair.Candidate{Organisation: "a", Weight: 1, LocalWaiting: 1}
+			b := fair.Candidate{Organisation: "b", Weight: 1, LocalWaiting: 1}
 			for range 1000 {
 				p.Pick([]fair.Candidate{a})
 				p.Charge("a", 100)
@@ -203,8 +203,8 @@
 	It("gives no credit for requests that arrived while a slot was free", func() {
 		p, err := fair.New("local", rand.New(rand.NewPCG(1, 1)))
 		Expect(err).NotTo(HaveOccurred())
-		a := fair.Candidate{Organisation: "a", Weight: 1, Local: 1}
-		b := fair.Candidate{Organisation: "b", Weight: 1, Local: 1}
+		a := fair.Candidate{Organisation: "a", Weight: 1, LocalWaiting: 1}
+		b := fair.Candidate{Organisation: "b", Weight: 1, LocalWaiting: 1}
 		for i := range 1000 {
 			alone := []fair.Candidate{a}
 			if i%10 == 0 {
--- a/internal/fair/queue.go
+++ b/internal/fair/queue.go
@@ -106,16 +106,16 @@
 // Size returns the number of items of all organisations.
 func (q *Queue[T]) Size() int { return q.size }
 
-// Each calls f with every organisation that has items waiting, in no
-// particular order.
-func (q *Queue[T]) Each(f func(organisation string, waiting int)) {
+// EachOrganisation calls f with every organisation that has items waiting and
+// their number, in no particular order.
+func (q *Queue[T]) EachOrganisation(f func(organisation string, waiting int)) {
 	for name, hp := range q.heaps {
 		f(name, len(hp.entries))
 	}
 }
 
-// Items calls f with every waiting item, in no particular order.
-func (q *Queue[T]) Items(f func(T)) {
+// EachItem calls f with every waiting item, in no particular order.
+func (q *Queue[T]) EachItem(f func(T)) {
 	for _, hp := range q.heaps {
 		for _, e := range hp.entries {
 			f(e.item)
--- a/internal/fair/share.go
+++ b/internal/fair/share.go
@@ -217,10 +217,10 @@
 }
 
 func (s *share) Observe(v View) {
-	standings := v.Standings
-	s.addServed(standings)
+	states := v.Organisations
+	s.addServed(states)
 	total, weights, served := 0.0, 0.0, 0.0
-	for _, st := range standings {
+	for _, st := range states {
 		if !st.Backlogged {
 			continue
 		}
@@ -237,7 +237,7 @@
 	s.serviceRate += smoothing * (served - s.serviceRate)
 	mean := total / weights
 	span := max(catchUpViews, catchUpPerViewAge*v.Age) * max(s.serviceRate, s.meanCost) / weights
-	for _, st := range standings {
+	for _, st := range states {
 		a := s.accounts[st.Organisation]
 		a.boost = 1
 		if span > 0 && a.backlogged {
@@ -250,9 +250,9 @@
 // become backlogged is moved into the range of those that already were: it is
 // not favoured for idle time, nor penalised for service received while nobody
 // else wanted it.
-func (s *share) addServed(standings []Standing) {
-	low, high, known := s.servedRange(standings)
-	for _, st := range standings {
+func (s *share) addServed(states []OrganisationState) {
+	low, high, known := s.servedRange(states)
+	for _, st := range states {
 		a := s.account(st.Organisation)
 		a.weight = st.Weight
 		switch {
@@ -269,8 +269,8 @@
 
 // servedRange returns the range of weighted service of the organisations that
 // were backlogged in the last view and still are.
-func (s *share) servedRange(standings []Standing) (low, high float64, known bool) {
-	for _, st := range standings {
+func (s *share) servedRange(states []OrganisationState) (low, high float64, known bool) {
+	for _, st := range states {
 		a := s.accounts[st.Organisation]
 		if a == nil || !a.backlogged || !st.Backlogged {
 			continue
--- a/internal/fair/simple.go
+++ b/internal/fair/simple.go
@@ -6,7 +6,7 @@
 
 func newFIFO() *fifo { return &fifo{} }
 
-func (*fifo) Reach() Reach { return ReachIdle }
+func (*fifo) Reach() Reach { return ReachLocalFirst }
 
 func (*fifo) Pick(candidates []Candidate) int {
 	best := 0
@@ -19,13 +19,13 @@
 }
 
 func waitedLonger(a, b Candidate) bool {
-	if (a.Local > 0) != (b.Local > 0) {
-		return a.Local > 0
+	if (a.LocalWaiting > 0) != (b.LocalWaiting > 0) {
+		return a.LocalWaiting > 0
 	}
-	if a.Local > 0 {
-		return a.Oldest.Before(b.Oldest)
+	if a.LocalWaiting > 0 {
+		return a.OldestArrival.Before(b.OldestArrival)
 	}
-	return a.Remote > b.Remote
+	return a.RemoteWaiting > b.RemoteWaiting
 }
 
 func (*fifo) Charge(string, float64) {}
@@ -108,7 +108,7 @@
 		g.served[organisation] -= cost
 		delete(g.sinceView, organisation)
 	}
-	for _, s := range v.Standings {
+	for _, s := range v.Organisations {
 		g.served[s.Organisation] += s.Served
 	}
 }
