--- a/internal/configsync/configsync.go
+++ b/internal/configsync/configsync.go
@@ -134,7 +134,7 @@
 // assume works out whether this router watches. It does while it has no
 // configuration, and while it is the only one it knows of.
 func (s *Syncer) assume(time.Time) {
-	watchers := member.First(watchersPerZone, watchKey, s.options.Self.Zone, s.options.Live())
+	watchers := member.TopInZone(watchersPerZone, watchKey, s.options.Self.Zone, s.options.Live())
 	s.watching.Store(!s.applied || len(watchers) == 0 || has(watchers, s.options.Self.ID))
 }
 
@@ -224,7 +224,7 @@
 		return
 	}
 	live := s.options.Live()
-	watchers := member.First(watchersPerZone, watchKey, s.options.Self.Zone, live)
+	watchers := member.TopInZone(watchersPerZone, watchKey, s.options.Self.Zone, live)
 	for _, m := range live {
 		if m.ID == s.options.Self.ID || m.Zone != s.options.Self.Zone || has(watchers, m.ID) {
 			continue
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -126,7 +126,7 @@
 func (s *State) Configure(snapshot config.Snapshot, now time.Time) {
 	invariant.Check(snapshot.Revision >= s.snapshot.Revision, invariant.NeverReverts)
 	s.snapshot = snapshot
-	s.members.Listed(snapshot.Boxes(config.RoleRouter))
+	s.members.SetListed(snapshot.Boxes(config.RoleRouter))
 	for _, p := range snapshot.Pools() {
 		s.configurePool(p)
 	}
@@ -277,7 +277,7 @@
 // that were given it before.
 func (s *State) Leave(now time.Time) {
 	s.leaving = true
-	s.members.Leave()
+	s.members.MarkLeaving()
 	s.Report(now)
 	s.updateOwners(now)
 	s.reportForeign(now)
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -21,7 +21,7 @@
 
 // Receive handles a message from another router.
 func (s *State) Receive(from member.Member, m message.Message, now time.Time) {
-	if !s.members.Heard(from, now) {
+	if !s.members.RecordMessage(from, now) {
 		s.counts.StaleMessages++
 		return
 	}
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -133,7 +133,7 @@
 		var fakes []*fakeRouter
 		for i := 0; len(fakes) < 3; i++ {
 			other := member.Member{ID: message.RouterID(fmt.Sprint("w", i)), Zone: "z"}
-			if member.Spread(1, "store", []member.Member{r.Known(), other})[0].ID == other.ID {
+			if member.TopAcrossZones(1, "store", []member.Member{r.Known(), other})[0].ID == other.ID {
 				f := newFakeIn(other.ID, other.Zone)
 				f.say(r, false)
 				fakes = append(fakes, f)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -188,11 +188,11 @@
 
 // ranksFirst reports whether this router is the first of those that run for a request.
 func (g *Gateway) ranksFirst(now time.Time, k quarantine.Key) bool {
-	standing := member.NewStanding(k.String(), g.known.ID, g.known.Zone)
+	standing := member.NewRankCounter(k.String(), g.known.ID, g.known.Zone)
 	for r := range g.running(now) {
 		standing.Add(r.ID, r.Zone)
 	}
-	return standing.Among(1)
+	return standing.InTop(1)
 }
 
 func (g *Gateway) tellSuspects(to member.Member, list []quarantine.Record) {
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -108,15 +108,15 @@
 		}
 		first := ignorant && g.lot*float64(running) < firstAskers
 		reaches := g.trouble.IsZero() && !g.leaving
-		watches = first || reaches && reaching.Among(watchers) || !g.leaving && live.Among(watchers)
+		watches = first || reaches && reaching.InTop(watchers) || !g.leaving && live.InTop(watchers)
 	})
 	return watches
 }
 
 // standing returns this router's standing among none yet of those that are to watch
 // the store.
-func (g *Gateway) standing() *member.Standing {
-	return member.NewStanding("store", g.known.ID, g.known.Zone)
+func (g *Gateway) standing() *member.RankCounter {
+	return member.NewRankCounter("store", g.known.ID, g.known.Zone)
 }
 
 // OthersWatch reports whether other routers reach the store, as far as known, so
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -13,7 +13,8 @@
 	"github.com/stepcroft/stepcroft/internal/rendezvous"
 )
 
-// Member describes a router to the other routers.
+// Member describes a router to the other routers. Callers connect to Address, and
+// other routers to Peer.
 type Member struct {
 	ID          message.RouterID
 	Zone        string
@@ -48,11 +49,11 @@
 // Self returns the local router.
 func (t *Table) Self() Member { return t.self }
 
-// Leave marks the local router as leaving.
-func (t *Table) Leave() { t.self.Leaving = true }
+// MarkLeaving marks the local router as leaving.
+func (t *Table) MarkLeaving() { t.self.Leaving = true }
 
-// Listed replaces the platform's list of routers.
-func (t *Table) Listed(boxes []config.Box) {
+// SetListed replaces the platform's list of routers.
+func (t *Table) SetListed(boxes []config.Box) {
 	for _, e := range t.others {
 		e.listed = false
 	}
@@ -80,12 +81,12 @@
 	return e
 }
 
-// Heard records a message from m. It returns false if the message is to be
-// ignored: it is from an older incarnation of a router that is alive, or from
+// RecordMessage records a message from m. It returns false if the message is to
+// be ignored: it is from an older incarnation of a router that is alive, or from
 // the local router's own ID, as its last incarnation may have sent it.
 // Incarnations are wall-clock times, and clocks may be set back: a lower
 // incarnation counts as a restart once the higher one has timed out.
-func (t *Table) Heard(m Member, now time.Time) bool {
+func (t *Table) RecordMessage(m Member, now time.Time) bool {
 	if m.ID == t.self.ID {
 		return false
 	}
@@ -179,17 +180,17 @@
 	return best, found
 }
 
-// First returns the n members of an availability zone with the highest
+// TopInZone returns the n members of an availability zone with the highest
 // rendezvous weights for a key.
-func First(n int, key, zone string, live []Member) []Member {
+func TopInZone(n int, key, zone string, live []Member) []Member {
 	local := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return m.Zone != zone })
 	return firstMembers(n, rank(key, local))
 }
 
-// Spread returns n members by their rendezvous weights for a key, highest
-// first, but spread over availability zones: the first of each zone comes
-// before the second of any.
-func Spread(n int, key string, list []Member) []Member {
+// TopAcrossZones returns n members by their rendezvous weights for a key, highest
+// first, but spread over availability zones: the first of each zone comes before
+// the second of any.
+func TopAcrossZones(n int, key string, list []Member) []Member {
 	all := rank(key, list)
 	taken := map[string]int{}
 	for i := range all {
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -35,33 +35,33 @@
 
 	BeforeEach(func() {
 		t = member.New(member.Member{ID: "r1"}, 2*time.Second, start)
-		t.Listed([]config.Box{{Name: "r1"}, {Name: "r2"}, {Name: "r3"}})
+		t.SetListed([]config.Box{{Name: "r1"}, {Name: "r2"}, {Name: "r3"}})
 	})
 
 	It("counts listed routers as alive until the timeout, then only those that sent a message", func() {
 		Expect(ids(t.Live(start))).To(Equal([]string{"r1", "r2", "r3"}))
-		t.Heard(member.Member{ID: "r2", Incarnation: 1}, start.Add(time.Second))
+		t.RecordMessage(member.Member{ID: "r2", Incarnation: 1}, start.Add(time.Second))
 		Expect(ids(t.Live(start.Add(2500 * time.Millisecond)))).To(Equal([]string{"r1", "r2"}))
 		Expect(ids(t.Live(start.Add(4 * time.Second)))).To(Equal([]string{"r1"}))
 	})
 
 	It("adds a router that sends a message before it is listed", func() {
-		t.Heard(member.Member{ID: "r9", Incarnation: 1}, start)
+		t.RecordMessage(member.Member{ID: "r9", Incarnation: 1}, start)
 		Expect(ids(t.Live(start))).To(ContainElement("r9"))
 	})
 
 	It("ignores messages that carry its own ID", func() {
-		Expect(t.Heard(member.Member{ID: "r1", Incarnation: 9}, start)).To(BeFalse())
+		Expect(t.RecordMessage(member.Member{ID: "r1", Incarnation: 9}, start)).To(BeFalse())
 		Expect(ids(t.Live(start))).To(Equal([]string{"r1", "r2", "r3"}))
 	})
 
 	It("keeps an incarnation marked as leaving, but not the next one", func() {
-		t.Heard(member.Member{ID: "r2", Incarnation: 1, Leaving: true}, start)
-		t.Heard(member.Member{ID: "r2", Incarnation: 1}, start)
+		t.RecordMessage(member.Member{ID: "r2", Incarnation: 1, Leaving: true}, start)
+		t.RecordMessage(member.Member{ID: "r2", Incarnation: 1}, start)
 		Expect(ids(t.Live(start))).NotTo(ContainElement("r2"))
-		Expect(t.Heard(member.Member{ID: "r2", Incarnation: 2}, start)).To(BeTrue())
+		Expect(t.RecordMessage(member.Member{ID: "r2", Incarnation: 2}, start)).To(BeTrue())
 		Expect(ids(t.Live(start))).To(ContainElement("r2"))
-		Expect(t.Heard(member.Member{ID: "r2", Incarnation: 1, Leaving: true}, start)).To(BeFalse())
+		Expect(t.RecordMessage(member.Member{ID: "r2", Incarnation: 1, Leaving: true}, start)).To(BeFalse())
 		Expect(ids(t.Live(start))).To(ContainElement("r2"))
 	})
 })
@@ -110,7 +110,7 @@
 	})
 })
 
-var _ = Describe("Spread", func() {
+var _ = Describe("TopAcrossZones", func() {
 	list := func(zones ...string) []member.Member {
 		var out []member.Member
 		for i, z := range zones {
@@ -122,7 +122,7 @@
 	It("takes one of each availability zone before a second of any", func() {
 		all := list("a", "a", "a", "a", "a", "b", "c")
 		zones := map[string]int{}
-		for _, m := range member.Spread(4, "key", all) {
+		for _, m := range member.TopAcrossZones(4, "key", all) {
 			zones[m.Zone]++
 		}
 		Expect(zones).To(Equal(map[string]int{"a": 2, "b": 1, "c": 1}))
@@ -130,22 +130,22 @@
 
 	It("replaces only a router that is removed", func() {
 		all := list("a", "b", "c", "a", "b", "c", "a", "b", "c")
-		before := member.Spread(3, "key", all)
+		before := member.TopAcrossZones(3, "key", all)
 		gone := before[1]
 		rest := slices.DeleteFunc(slices.Clone(all), func(m member.Member) bool { return m.ID == gone.ID })
-		after := member.Spread(3, "key", rest)
+		after := member.TopAcrossZones(3, "key", rest)
 		Expect(after).To(ContainElements(before[0], before[2]))
 		Expect(after).NotTo(ContainElement(gone))
 	})
 
 	It("returns all members if n is larger than the list", func() {
-		Expect(member.Spread(5, "key", list("a", "b"))).To(HaveLen(2))
-		Expect(member.Spread(5, "key", nil)).To(BeEmpty())
+		Expect(member.TopAcrossZones(5, "key", list("a", "b"))).To(HaveLen(2))
+		Expect(member.TopAcrossZones(5, "key", nil)).To(BeEmpty())
 	})
 })
 
-// TestStanding checks that Standing agrees with the sorted list that Spread returns.
-func TestStanding(t *testing.T) {
+// TestRankCounter checks that RankCounter agrees with TopAcrossZones.
+func TestRankCounter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []member.Member
 		for i := range rapid.IntRange(1, 40).Draw(t, "members") {
@@ -155,27 +155,27 @@
 		}
 		key := rapid.StringN(0, 8, 8).Draw(t, "key")
 		n := rapid.IntRange(0, 10).Draw(t, "n")
-		first := member.Spread(n, key, list)
+		first := member.TopAcrossZones(n, key, list)
 		for _, m := range list {
-			s := member.NewStanding(key, m.ID, m.Zone)
+			s := member.NewRankCounter(key, m.ID, m.Zone)
 			for _, other := range list {
 				s.Add(other.ID, other.Zone)
 			}
-			if got, want := s.Among(n), slices.Contains(first, m); got != want {
+			if got, want := s.InTop(n), slices.Contains(first, m); got != want {
 				t.Fatalf("%v among the first %d of %v: %t, want %t", m, n, list, got, want)
 			}
 		}
 	})
 }
 
-// BenchmarkSpread chooses the routers that watch the store in a fleet of the
-// target size; each router does that ten times a second.
-func BenchmarkSpread(b *testing.B) {
+// BenchmarkTopAcrossZones chooses the routers that watch the store in a fleet of
+// the target size; each router does that ten times a second.
+func BenchmarkTopAcrossZones(b *testing.B) {
 	var list []member.Member
 	for i := range 630 {
 		list = append(list, member.Member{ID: message.RouterID(fmt.Sprint("router-", i)), Zone: fmt.Sprint(i % 11)})
 	}
 	for b.Loop() {
-		member.Spread(9, "store", list)
+		member.TopAcrossZones(9, "store", list)
 	}
 }
