--- a/internal/forward/advice_internal_test.go
+++ b/internal/forward/advice_internal_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestRestOf(t *testing.T) {
+func TestParseRetryAfter(t *testing.T) {
 	const date = "Sun, 06 Nov 1994 08:49:37 GMT"
 	cases := map[string]time.Duration{
 		"":                              0,
--- a/internal/forward/coalesce_test.go
+++ b/internal/forward/coalesce_test.go
@@ -21,13 +21,13 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// pieces is a caller that records each call of Write.
-type pieces struct {
-	ignored
+// recordingCaller is a caller that records each call of Write.
+type recordingCaller struct {
+	discard
 	list []string
 }
 
-func (p *pieces) Write(b []byte) error {
+func (p *recordingCaller) Write(b []byte) error {
 	p.list = append(p.list, string(bytes.Clone(b)))
 	return nil
 }
@@ -58,8 +58,8 @@
 		if busy > 0 {
 			Eventually(loop.Coalesce).Should(BeNumerically(">", 0))
 		}
-		f := forward.New(forward.Dialect{RequestID: "X-Id", Deadline: "X-Wait-Ms", ExpectTarget: "X-Expect"}, httptarget.New(g), loop, trusting{}, logr.Discard(), ignored{})
-		caller := &pieces{}
+		f := forward.New(forward.Dialect{RequestID: "X-Id", Deadline: "X-Wait-Ms", ExpectTarget: "X-Expect"}, httptarget.New(g), loop, noSuspects{}, logr.Discard(), discard{})
+		caller := &recordingCaller{}
 		v := f.Forward(context.Background(), forward.Request{
 			ID: "r", Method: http.MethodPost, Target: "/", Host: "h", Service: "s", Arrived: time.Now(), Deadline: time.Now().Add(10 * time.Second),
 			Route: &routing.Route{Kind: routing.Streaming, Goal: time.Second, MaxPause: 400 * time.Millisecond, MaxAttempts: 1},
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -26,30 +26,30 @@
 	RunSpecs(t, "forward")
 }
 
-// sender is a forward.Sender whose targets break off every request. It calls broken first.
-type sender struct{ broken func() }
+// brokenSender is a forward.Sender whose targets break off every request, after calling onSend.
+type brokenSender struct{ onSend func() }
 
-func (s sender) Send(context.Context, string, httptarget.Request) (*httptarget.Answer, error) {
-	s.broken()
+func (s brokenSender) Send(context.Context, string, httptarget.Request) (*httptarget.Answer, error) {
+	s.onSend()
 	return nil, errors.Wrap(httptarget.ErrBroken, "test")
 }
 
-func (sender) Ended(context.Context, string, string) bool { return false }
+func (brokenSender) Ended(context.Context, string, string) bool { return false }
 
-// trusting implements forward.Suspects and suspects no request.
-type trusting struct{ forward.Suspects }
+// noSuspects implements forward.Suspects and suspects no request.
+type noSuspects struct{ forward.Suspects }
 
-func (trusting) View() *quarantine.View                   { return nil }
-func (trusting) Ended(balance.Target)                     {}
-func (trusting) Broke(context.Context, forward.Break) int { return 0 }
+func (noSuspects) View() *quarantine.View                   { return nil }
+func (noSuspects) Ended(balance.Target)                     {}
+func (noSuspects) Broke(context.Context, forward.Break) int { return 0 }
 
-// ignored implements forward.Caller and forward.Counts and discards everything.
-type ignored struct{}
+// discard implements forward.Caller and forward.Counts and discards everything.
+type discard struct{}
 
-func (ignored) Head(int, http.Header, int64) {}
-func (ignored) Write([]byte) error           { return nil }
-func (ignored) Retried(forward.Reason)       {}
-func (ignored) Advised(forward.Advice)       {}
+func (discard) Head(int, http.Header, int64) {}
+func (discard) Write([]byte) error           { return nil }
+func (discard) Retried(forward.Reason)       {}
+func (discard) Advised(forward.Advice)       {}
 
 var _ = Describe("Forward", func() {
 	It("releases the load of a request whose caller disconnects while another target is chosen", func() {
@@ -69,17 +69,17 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		hold := make(chan bool)
-		f := forward.New(forward.Dialect{}, sender{func() {
+		f := forward.New(forward.Dialect{}, brokenSender{func() {
 			// The control thread is blocked when the retry is requested, and the caller
 			// disconnects meanwhile.
 			loop.Post(func(*balance.State, time.Time) { <-hold })
 			time.AfterFunc(30*time.Millisecond, cancel)
-		}}, loop, trusting{}, logr.Discard(), ignored{})
+		}}, loop, noSuspects{}, logr.Discard(), discard{})
 		now := time.Now()
 		f.Forward(ctx, forward.Request{
 			ID: "r", Method: http.MethodGet, Service: "s", Arrived: now, Deadline: now.Add(time.Minute),
 			Route: &routing.Route{Kind: routing.Idempotent, MaxAttempts: 2, Goal: time.Second},
-		}, ignored{})
+		}, discard{})
 		close(hold)
 		Eventually(func() int {
 			loads := -1
--- a/internal/httptarget/ended_test.go
+++ b/internal/httptarget/ended_test.go
@@ -20,17 +20,17 @@
 func TestEnded(t *testing.T) {
 	g := group.New(t.Context())
 	defer g.Stop()
-	sound := httptest.NewServer(http.NotFoundHandler())
-	defer sound.Close()
+	running := httptest.NewServer(http.NotFoundHandler())
+	defer running.Close()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone := l.Addr().String()
+	closed := l.Addr().String()
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for address, want := range map[string]bool{sound.Listener.Addr().String(): false, gone: true} {
+	for address, want := range map[string]bool{running.Listener.Addr().String(): false, closed: true} {
 		transport := httptarget.New(g)
 		var wait sync.WaitGroup
 		for range 20 {
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestProbeIsKept checks that the next request reuses the connection of a probe.
-func TestProbeIsKept(t *testing.T) {
+// TestProbeConnectionIsReused checks that the next request reuses the connection of a probe.
+func TestProbeConnectionIsReused(t *testing.T) {
 	g := group.New(t.Context())
 	defer g.Stop()
 	server := httptest.NewServer(http.NotFoundHandler())
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestNobodyListens checks that a refused connection differs from other failures to connect.
-func TestNobodyListens(t *testing.T) {
+// TestConnectionRefused checks that a refused connection differs from other failures to connect.
+func TestConnectionRefused(t *testing.T) {
 	g := group.New(t.Context())
 	defer g.Stop()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,9 +87,9 @@
 	if !errors.Is(err, httptarget.ErrNobodyListens) || !errors.Is(err, httptarget.ErrNotSent) {
 		t.Errorf("refused: %v", err)
 	}
-	gone, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = httptarget.New(g).Send(gone, address, httptarget.Request{Method: http.MethodGet})
+	_, err = httptarget.New(g).Send(cancelled, address, httptarget.Request{Method: http.MethodGet})
 	if errors.Is(err, httptarget.ErrNobodyListens) || !errors.Is(err, httptarget.ErrNotSent) {
 		t.Errorf("cancelled: %v", err)
 	}
--- a/internal/httptarget/httptarget_test.go
+++ b/internal/httptarget/httptarget_test.go
@@ -25,9 +25,9 @@
 	RunSpecs(t, "httptarget")
 }
 
-// play starts a server that calls f with each connection and its number, and returns the
+// serve starts a server that calls f with each connection and its number, and returns the
 // server's address.
-func play(f func(n int, c net.Conn)) string {
+func serve(f func(n int, c net.Conn)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	var wait sync.WaitGroup
@@ -60,8 +60,8 @@
 	return l.Addr().String()
 }
 
-// requests calls f for each request received on c, until f returns false.
-func requests(c net.Conn, f func(n int, r *http.Request) bool) {
+// serveRequests calls f for each request received on c, until f returns false.
+func serveRequests(c net.Conn, f func(n int, r *http.Request) bool) {
 	reader := bufio.NewReader(c)
 	for n := 0; ; n++ {
 		r, err := http.ReadRequest(reader)
@@ -82,21 +82,22 @@
 	return httptarget.Request{Method: http.MethodPost, Head: []byte(head), Body: []byte(body), ID: id, IDHeader: "X-Id"}
 }
 
-func whole(id, body string) string {
+// okAnswer returns the text of an answer with status 200.
+func okAnswer(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// rig is the transport under test.
-type rig struct{ *httptarget.Transport }
+// testTransport is the transport under test.
+type testTransport struct{ *httptarget.Transport }
 
-func newRig() rig {
+func newTestTransport() testTransport {
 	g := group.New(context.Background())
 	DeferCleanup(g.Stop)
-	return rig{httptarget.New(g)}
+	return testTransport{httptarget.New(g)}
 }
 
-// ask sends a request and returns the body of its answer.
-func (r rig) ask(address, id, body string) (string, error) {
+// send sends a request and returns the body of its answer.
+func (r testTransport) send(address, id, body string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	a, err := r.Send(ctx, address, request(id, body))
@@ -110,24 +111,24 @@
 
 var _ = Describe("Transport", func() {
 	It("reuses a connection", func() {
-		r := newRig()
-		address := play(func(_ int, c net.Conn) {
-			requests(c, func(n int, q *http.Request) bool {
-				fmt.Fprint(c, whole(q.Header.Get("X-Id"), fmt.Sprint("answer ", n)))
+		r := newTestTransport()
+		address := serve(func(_ int, c net.Conn) {
+			serveRequests(c, func(n int, q *http.Request) bool {
+				fmt.Fprint(c, okAnswer(q.Header.Get("X-Id"), fmt.Sprint("answer ", n)))
 				return true
 			})
 		})
 		for i := range 3 {
-			Expect(r.ask(address, fmt.Sprint("r", i), "b")).To(Equal(fmt.Sprint("answer ", i)))
+			Expect(r.send(address, fmt.Sprint("r", i), "b")).To(Equal(fmt.Sprint("answer ", i)))
 		}
 		Expect(r.Stats().Dialled).To(Equal(int64(1)))
 	})
 
 	It("does not reuse a connection that was made for another process at the same address", func() {
-		r := newRig()
-		address := play(func(_ int, c net.Conn) {
-			requests(c, func(_ int, q *http.Request) bool {
-				fmt.Fprint(c, whole(q.Header.Get("X-Id"), "answer"))
+		r := newTestTransport()
+		address := serve(func(_ int, c net.Conn) {
+			serveRequests(c, func(_ int, q *http.Request) bool {
+				fmt.Fprint(c, okAnswer(q.Header.Get("X-Id"), "answer"))
 				return true
 			})
 		})
@@ -143,27 +144,27 @@
 	})
 
 	It("skips answers to earlier requests", func() {
-		r := newRig()
-		address := play(func(_ int, c net.Conn) {
-			requests(c, func(n int, q *http.Request) bool {
+		r := newTestTransport()
+		address := serve(func(_ int, c net.Conn) {
+			serveRequests(c, func(n int, q *http.Request) bool {
 				if n == 1 {
-					fmt.Fprint(c, whole("r0", "late"))
+					fmt.Fprint(c, okAnswer("r0", "late"))
 				}
-				fmt.Fprint(c, whole(q.Header.Get("X-Id"), "own"))
+				fmt.Fprint(c, okAnswer(q.Header.Get("X-Id"), "own"))
 				return true
 			})
 		})
-		Expect(r.ask(address, "r0", "b")).To(Equal("own"))
-		Expect(r.ask(address, "r1", "b")).To(Equal("own"))
+		Expect(r.send(address, "r0", "b")).To(Equal("own"))
+		Expect(r.send(address, "r1", "b")).To(Equal("own"))
 		Expect(r.Stats().Stray).To(Equal(int64(1)))
 	})
 
 	It("does not reuse a connection on which bytes follow the answer", func() {
 		for name, pause := range map[string]time.Duration{"at once": 0, "later": 30 * time.Millisecond} {
-			r := newRig()
-			address := play(func(n int, c net.Conn) {
-				requests(c, func(_ int, q *http.Request) bool {
-					fmt.Fprint(c, whole(q.Header.Get("X-Id"), "own"))
+			r := newTestTransport()
+			address := serve(func(n int, c net.Conn) {
+				serveRequests(c, func(_ int, q *http.Request) bool {
+					fmt.Fprint(c, okAnswer(q.Header.Get("X-Id"), "own"))
 					if n == 0 {
 						time.Sleep(pause)
 						fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil")
@@ -171,34 +172,34 @@
 					return true
 				})
 			})
-			Expect(r.ask(address, "r0", "b")).To(Equal("own"), name)
+			Expect(r.send(address, "r0", "b")).To(Equal("own"), name)
 			time.Sleep(60 * time.Millisecond)
-			Expect(r.ask(address, "r1", "b")).To(Equal("own"), name)
+			Expect(r.send(address, "r1", "b")).To(Equal("own"), name)
 			Expect(r.Stats().Dialled).To(Equal(int64(2)), name)
 		}
 	})
 
 	It("accepts an answer that arrives before a long body has been read, and closes the connection", func() {
-		r := newRig()
+		r := newTestTransport()
 		long := strings.Repeat("x", 4<<20)
-		address := play(func(_ int, c net.Conn) {
+		address := serve(func(_ int, c net.Conn) {
 			q, err := http.ReadRequest(bufio.NewReaderSize(c, 512))
 			if err != nil {
 				return
 			}
-			fmt.Fprint(c, whole(q.Header.Get("X-Id"), "early"))
+			fmt.Fprint(c, okAnswer(q.Header.Get("X-Id"), "early"))
 			time.Sleep(50 * time.Millisecond)
 		})
-		Expect(r.ask(address, "r0", long)).To(Equal("early"))
-		Expect(r.ask(address, "r1", "b")).To(Equal("early"))
+		Expect(r.send(address, "r0", long)).To(Equal("early"))
+		Expect(r.send(address, "r1", "b")).To(Equal("early"))
 		Expect(r.Stats().Reused).To(BeZero())
 	})
 
 	It("closes a connection when its request is abandoned", func() {
-		r := newRig()
+		r := newTestTransport()
 		closed := make(chan bool, 1)
-		address := play(func(_ int, c net.Conn) {
-			requests(c, func(int, *http.Request) bool {
+		address := serve(func(_ int, c net.Conn) {
+			serveRequests(c, func(int, *http.Request) bool {
 				_, err := c.Read(make([]byte, 1))
 				closed <- err != nil
 				return false
@@ -216,13 +217,14 @@
 		Expect(err).NotTo(HaveOccurred())
 		address := l.Addr().String()
 		Expect(l.Close()).To(Succeed())
-		_, err = newRig().ask(address, "r", "b")
+		_, err = newTestTransport().send(address, "r", "b")
 		Expect(err).To(MatchError(httptarget.ErrNotSent))
 	})
 })
 
-// naive reads an answer with the standard library, as if the connection closed after text.
-func naive(text []byte) (string, error) {
+// readWithStdlib reads text as an answer with the standard library. The connection seems to
+// close after it.
+func readWithStdlib(text []byte) (string, error) {
 	res, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), &http.Request{Method: http.MethodPost})
 	if err != nil {
 		return "", err
@@ -234,29 +236,29 @@
 
 var _ = Describe("An answer cut at any byte", func() {
 	texts := map[string]string{
-		"length":  whole("r", "hello"),
+		"length":  okAnswer("r", "hello"),
 		"chunked": "HTTP/1.1 200 OK\r\nX-Id: r\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n",
-		"interim": "HTTP/1.1 100 Continue\r\n\r\n" + whole("r", "hello"),
+		"interim": "HTTP/1.1 100 Continue\r\n\r\n" + okAnswer("r", "hello"),
 		"empty":   "HTTP/1.1 204 No Content\r\nX-Id: r\r\n\r\n",
 		"no end":  "HTTP/1.1 200 OK\r\nX-Id: r\r\nConnection: close\r\n\r\nhello",
 	}
 	It("is read as by the standard library", func() {
 		for name, text := range texts {
 			for cut := range len(text) + 1 {
-				address := play(func(_ int, c net.Conn) {
-					requests(c, func(int, *http.Request) bool {
+				address := serve(func(_ int, c net.Conn) {
+					serveRequests(c, func(int, *http.Request) bool {
 						fmt.Fprint(c, text[:cut])
 						return false
 					})
 				})
-				got, err := newRig().ask(address, "r", "b")
+				got, err := newTestTransport().send(address, "r", "b")
 				plain := strings.TrimPrefix(text[:cut], "HTTP/1.1 100 Continue\r\n\r\n")
 				if name == "interim" && len(plain) == cut {
 					// The text has at most the interim answer.
 					Expect(err).To(HaveOccurred(), "%s cut at %d", name, cut)
 					continue
 				}
-				want, wantErr := naive([]byte(plain))
+				want, wantErr := readWithStdlib([]byte(plain))
 				Expect(err != nil).To(Equal(wantErr != nil), "%s cut at %d: %v, %v", name, cut, err, wantErr)
 				if wantErr == nil {
 					Expect(got).To(Equal(want), "%s cut at %d", name, cut)
