--- a/internal/balance/advice.go
+++ b/internal/balance/advice.go
@@ -7,154 +7,158 @@
 	"github.com/stepcroft/stepcroft/internal/advice"
 )
 
-// Leaves notes that the target to which a request was sent says in its answer that it
-// leaves. It reports whether that is news.
+// Leaves records that a request's target reported in its answer that it is shutting down. It
+// returns whether this was not known before.
 func (s *State) Leaves(now time.Time, t *Ticket) bool {
-	if t.at == nil {
+	if t.target == nil {
 		return false
 	}
-	record, news := s.advice.Leave(now, t.at.name)
-	s.said(t.at, record)
+	record, news := s.advice.Leave(now, t.target.incarnation)
+	s.setReported(t.target, record)
 	if news {
 		s.refuseUnservable(now)
 	}
 	return news
 }
 
-// Rests notes that the target to which a request was sent asks in its answer for nothing
-// more during a time. It reports whether the target was not resting.
+// Rests records that a request's target asked in its answer for a backoff of d. It returns
+// whether the target was not backing off already.
 func (s *State) Rests(now time.Time, t *Ticket, d time.Duration) bool {
-	if t.at == nil {
+	if t.target == nil {
 		return false
 	}
-	spread := time.Duration(s.random.Int64N(int64(min(d, advice.RestMost))*restSpread/100 + 1))
-	record, news := s.advice.Rest(now, t.at.name, d+spread)
-	s.said(t.at, record)
-	t.at.trial = nil
+	spread := time.Duration(s.random.Int64N(int64(min(d, advice.RestMost))*backoffJitterPercent/100 + 1))
+	record, news := s.advice.Rest(now, t.target.incarnation, d+spread)
+	s.setReported(t.target, record)
+	t.target.probe = nil
 	if news {
 		s.refuseUnservable(now)
 	}
 	return news
 }
 
-// said gives a target its record, and the listed one where the target was listed anew
-// since the request was sent.
-func (s *State) said(t *target, r *advice.Record) {
-	t.said = r
-	if listed := s.alive(t.name); listed != nil {
-		listed.said = r
+// setReported sets a target's record, and also that of the listed target of the same
+// incarnation, which is another object if the target was listed anew since the request was
+// sent.
+func (s *State) setReported(t *target, r *advice.Record) {
+	t.reported = r
+	if listed := s.findIncarnation(t.incarnation); listed != nil {
+		listed.reported = r
 	}
 }
 
-// Closed reports whether a target gets nothing new. What it said itself holds, whatever its
-// entry says.
-func (t *target) Closed(now time.Time) bool { return t.said.Leaving() || t.Target.Closed(now) }
+// Closed reports whether a target gets no new requests. What the target reported itself
+// counts, whatever its entry says.
+func (t *target) Closed(now time.Time) bool { return t.reported.Leaving() || t.Target.Closed(now) }
 
-// SaidLeaving reports whether an incarnation of a target has said that it leaves.
+// SaidLeaving reports whether an incarnation of a target reported that it is shutting down.
 func (s *State) SaidLeaving(t Target) bool { return s.advice.Find(t.Incarnation()).Leaving() }
 
 const (
-	// restSpread is by how much longer a target is left alone than it asked for, in percent
-	// at most: routers that were turned away together must not come back together.
-	restSpread = 10
-	// trialTime is for how long a request that is sent after a rest keeps others back: a
-	// target that is silent for longer may still take them.
-	trialTime = 500 * time.Millisecond
+	// backoffJitterPercent is the most by which a requested backoff is extended: routers that
+	// were rejected together must not retry together.
+	backoffJitterPercent = 10
+	// probeTimeout is how long a probe, the first request after a backoff, keeps others away.
+	// A target that does not answer within it may still take them.
+	probeTimeout = 500 * time.Millisecond
 )
 
-// resting reports whether the target wants nothing now.
-func (t *target) resting(now time.Time) bool { return now.Before(t.said.Rest()) }
+// backingOff reports whether the target's backoff is still running.
+func (t *target) backingOff(now time.Time) bool { return now.Before(t.reported.Rest()) }
 
-// unrested reports whether a target rests, or has taken no request since and has one on
-// trial: a target that is still full would turn away all that waited for it.
-func (t *target) unrested(now time.Time) bool {
-	return t.resting(now) || t.trial != nil && now.Sub(t.trial.sent) < trialTime
+// backingOffOrProbed reports whether a target backs off, or has been sent a probe since and
+// not answered it. A target that is still full would otherwise reject all requests that waited
+// for it.
+func (t *target) backingOffOrProbed(now time.Time) bool {
+	return t.backingOff(now) || t.probe != nil && now.Sub(t.probe.sentAt) < probeTimeout
 }
 
-// tried notes that a target has taken the request that was sent to it on trial.
-func (t *target) tried(k *Ticket) {
-	if t.trial == k {
-		t.trial = nil
-		t.said.EndRest()
+// endProbe ends the backoff if the target took the request that was its probe.
+func (t *target) endProbe(k *Ticket) {
+	if t.probe == k {
+		t.probe = nil
+		t.reported.EndRest()
 	}
 }
 
-// restEnd returns when the first target rests no longer, of those to which a request can be
-// sent, if all of them rest.
-func (s *State) restEnd(now time.Time, service string, except []string) (time.Time, bool) {
+// backoffEnd returns when the first of a service's targets ends its backoff, if all those that
+// a request may be sent to back off. Targets whose incarnation is in except are ignored.
+func (s *State) backoffEnd(now time.Time, service string, except []string) (time.Time, bool) {
 	var first time.Time
 	for _, to := range s.services[service] {
-		if to.Closed(now) || slices.Contains(except, to.name) {
+		if to.Closed(now) || slices.Contains(except, to.incarnation) {
 			continue
 		}
-		if !to.resting(now) {
+		if !to.backingOff(now) {
 			return time.Time{}, false
 		}
-		if end := to.said.Rest(); first.IsZero() || end.Before(first) {
+		if end := to.reported.Rest(); first.IsZero() || end.Before(first) {
 			first = end
 		}
 	}
 	return first, !first.IsZero()
 }
 
-// RestLeft returns when to come back to a service all of whose targets rest, spread so that
-// callers do not return together; false if one of them does not.
+// RestLeft returns when to retry if all targets of a service back off, with jitter so that
+// callers do not retry together; false if some target does not back off.
 func (s *State) RestLeft(now time.Time, service string) (time.Duration, bool) {
-	end, ok := s.restEnd(now, service, nil)
+	end, ok := s.backoffEnd(now, service, nil)
 	if !ok {
 		return 0, false
 	}
 	left := end.Sub(now)
-	return left + time.Duration(s.random.Int64N(int64(left)*restSpread/100+1)), true
+	return left + time.Duration(s.random.Int64N(int64(left)*backoffJitterPercent/100+1)), true
 }
 
-// Against counts the requests that were sent in spite of what targets said: to those that
-// leave, and to those that rest.
+// Against counts the requests that were sent in spite of what targets reported: to targets
+// that are leaving, and to ones that back off.
 type Against struct {
 	Leaving, Resting int64
 }
 
-// AgainstAdvice returns the counts since the start.
+// AgainstAdvice returns these counts since the start.
 func (s *State) AgainstAdvice() Against { return s.against }
 
-// heed notes what a request means that is sent to a target which has said something.
-func (s *State) heed(now time.Time, t *Ticket, to *target) {
-	if to.said.Leaving() {
+// noteSent counts a request that is sent in spite of what its target reported, and makes the
+// first one after a backoff the target's probe.
+func (s *State) noteSent(now time.Time, t *Ticket, to *target) {
+	if to.reported.Leaving() {
 		s.against.Leaving++
 	}
-	if to.resting(now) {
+	if to.backingOff(now) {
 		s.against.Resting++
 	}
-	if !to.said.Rest().IsZero() {
-		to.trial = t
+	if !to.reported.Rest().IsZero() {
+		to.probe = t
 	}
 }
 
 const (
-	// refusalsMost is the number of refusals in a row that are taken for chance, firstRest the
-	// rest after the next one, which doubles with each up to lastRest.
-	refusalsMost = 2
-	firstRest    = 50 * time.Millisecond
-	lastRest     = 800 * time.Millisecond
+	// A target backs off after more than maxConsecutiveRefusals refusals in a row, first for
+	// minRefusalBackoff. Each further refusal doubles that, up to maxRefusalBackoff.
+	maxConsecutiveRefusals = 2
+	minRefusalBackoff      = 50 * time.Millisecond
+	maxRefusalBackoff      = 800 * time.Millisecond
 )
 
-// turnedAway leaves a target alone for a moment that turns one request after another away
-// without saying for how long. Nothing runs there, so that it would draw all that comes.
-func (s *State) turnedAway(now time.Time, to *target) {
-	if to.resting(now) {
+// countRefusal counts a refusal, and starts a backoff if the target refuses one request after
+// another without asking for one. Since nothing runs at such a target, it would otherwise
+// attract all requests.
+func (s *State) countRefusal(now time.Time, to *target) {
+	if to.backingOff(now) {
 		return
 	}
-	to.refusals++
-	doubled := to.refusals - refusalsMost - 1
+	to.consecutiveRefusals++
+	doubled := to.consecutiveRefusals - maxConsecutiveRefusals - 1
 	if doubled < 0 {
 		return
 	}
-	record, _ := s.advice.Rest(now, to.name, min(firstRest<<min(doubled, 8), lastRest))
-	s.said(to, record)
-	s.paused++
+	record, _ := s.advice.Rest(now, to.incarnation, min(minRefusalBackoff<<min(doubled, 8), maxRefusalBackoff))
+	s.setReported(to, record)
+	s.backoffs++
 	s.refuseUnservable(now)
 }
 
-// Paused returns how often a target was left alone for a moment because it turned one request
-// after another away.
-func (s *State) Paused() int64 { return s.paused }
+// Paused returns the number of backoffs started because a target refused one request after
+// another.
+func (s *State) Paused() int64 { return s.backoffs }
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,9 +1,8 @@
-// Package balance decides which target a request is sent to and when. It
-// keeps each prompt's shared parts at one engine, bounds the prompt tokens
-// that engines have yet to read, lets requests wait for a moment where no
-// engine has room, and gives room first to organisations that have had less
-// than others. State is a plain state machine: time comes in through
-// arguments and one goroutine drives it.
+// Package balance decides which target a request is sent to and when. It keeps requests with
+// the same shared prompt prefix at one engine, bounds the pending prompt tokens (prefill
+// backlog) of engines, queues requests for a moment if no engine has room, and serves first
+// the organisations that were served less than others. State is a plain state machine: it gets
+// the time as an argument and must be driven by one goroutine.
 package balance
 
 import (
@@ -22,115 +21,115 @@
 )
 
 const (
-	// memoryShare is the part, in percent, of an engine's memory that running
-	// requests' own tokens may take. Beyond its memory an engine interrupts
-	// requests; the rest holds shared parts.
-	memoryShare = 55
-	// spareSlots is how many of an engine's slots are left free for what
-	// other routers send before they hear of it.
+	// memoryPercent is the part of an engine's memory that the unshared tokens of running
+	// requests may take. An engine preempts requests once its memory is full; the rest of the
+	// memory caches shared prefixes.
+	memoryPercent = 55
+	// spareSlots is the number of an engine's slots left free for requests that other routers
+	// sent and have not reported yet.
 	spareSlots = 2
-	// queueShare is how many requests more than its slots, in percent, a
-	// plain service's target gets: its answers are short, and an empty queue
-	// there means an idle slot.
-	queueShare = 50
-	// timelyShare is the part of its goal, in percent, in which a request to a plain
-	// service is to end behind those that are under way, and queueMost bounds those to so
-	// many times the slots.
-	timelyShare = 60
-	queueMost   = 4
-	// takesWeight is the weight of the newest request in how long they take.
-	takesWeight = 0.05
-	// waitShare is the part of its goal for which a request waits for room
-	// before it is refused: a caller told so early can still be served in
-	// time when it comes back.
-	waitShare = 5
-	// fewWaiting requests are looked through at each event; more of them once
-	// in dispatchPause, and until maxFailed of them found no room: a flooded
-	// router must not spend its processor on that.
-	fewWaiting    = 8
-	dispatchPause = 10 * time.Millisecond
-	maxFailed     = 16
-	// resumeWait is for how long a caller with a part of its answer waits for
-	// the rest of it: callers leave a stream after a pause of two seconds.
-	resumeWait = time.Second
-	// maxWaiting bounds the requests waiting at a router; more are refused at
+	// extraSlotsPercent is how many requests beyond its slots a target of a plain service
+	// gets. Its answers are short, and an empty queue there means an idle slot.
+	extraSlotsPercent = 50
+	// timelyPercent is the part of its goal within which a request to a plain service should
+	// end, including its wait behind the requests already running there. maxQueueFactor bounds
+	// the running requests to that many times the slots.
+	timelyPercent  = 60
+	maxQueueFactor = 4
+	// serviceTimeWeight is the weight of the newest sample in the average service time.
+	serviceTimeWeight = 0.05
+	// A request waits for room for its goal divided by goalWaitDivisor and is then refused: a
+	// caller refused so early can still be served in time when it retries.
+	goalWaitDivisor = 5
+	// A queue of at most eagerDispatchLength requests is searched at each event, a longer one
+	// once in dispatchInterval and until maxFailedPlacements requests found no room. This
+	// bounds the processor time that a flooded router spends on its queue.
+	eagerDispatchLength = 8
+	dispatchInterval    = 10 * time.Millisecond
+	maxFailedPlacements = 16
+	// maxResumeWait bounds the wait of a request whose caller already has a part of the
+	// answer: callers give up a stream that pauses for two seconds.
+	maxResumeWait = time.Second
+	// maxQueueLength bounds the requests waiting at a router; further ones are refused at
 	// once.
-	maxWaiting = 2000
-	// maxWaitingOne bounds those of one organisation to engines: about what a
-	// router finds room for while they wait. More only fill its memory.
-	maxWaitingOne = 24
+	maxQueueLength = 2000
+	// maxWaitingPerOrganisation bounds one organisation's waiting requests to engines. A
+	// router finds room for about that many before they time out; more would only take memory.
+	maxWaitingPerOrganisation = 24
 )
 
-// Limits are the figures that the deployment sets.
+// Limits are the limits that the deployment configures.
 type Limits struct {
-	// RetryRatio is the number of retries that all routers may make per
-	// request in RetryWindow, beside RetrySlack.
+	// RetryRatio is the number of retries per request that all routers together may make in
+	// RetryWindow, in addition to RetrySlack retries.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// QuotaWindow is the time over which organisations' shares are counted.
+	// QuotaWindow is the time over which the shares of organisations are counted.
 	QuotaWindow time.Duration
-	// ColdOver is how many times its rate, and ColdSlack how many requests more, a
-	// cold target may get in a second of all routers together.
+	// A cold target may get ColdOver times its rate plus ColdSlack requests a second from all
+	// routers together.
 	ColdOver, ColdSlack float64
 }
 
-// Target is an engine or a service's target.
+// Target is an engine or a target of a plain service.
 type Target struct {
 	ID      string
 	Service string
 	Address string
 	Zone    string
 	Slots   int
-	// Born is when the target's process started, in Unix milliseconds; 0 where the
-	// target does not say.
+	// Born is when the target's process started, in Unix milliseconds; 0 if unknown.
 	Born int64
-	// Writes is how often that process had written its entry; 0 where it does not say.
+	// Writes is the number of times that this process had written its directory entry; 0 if
+	// unknown.
 	Writes int64
-	// Leaving targets get nothing new, and those of a drained availability zone neither.
+	// Leaving targets (shutting down in a planned way) and targets in a drained availability
+	// zone get no new requests.
 	Leaving, Drained bool
-	// ColdLeft is for how much longer the target said that it is cold, ColdUntil until
-	// when that is at most.
+	// ColdLeft is how much longer the target reported to be cold, ColdUntil the latest time at
+	// which that ends.
 	ColdLeft  time.Duration
 	ColdUntil time.Time
-	// Lapsed is when the target's entry went while the store was in trouble, and
-	// Until is until when the target may be used without it; zero for a target
-	// that is listed, and Until for one that is used until the store is back.
+	// Lapsed is when the target's entry lapsed, that is, when its TTL ran out while the store
+	// was unavailable; zero for a listed target. The target may be used without an entry until
+	// Until, or until the store is back if Until is zero.
 	Lapsed, Until time.Time
 }
 
-// Closed reports whether a target gets nothing new.
+// Closed reports whether a target gets no new requests.
 func (t Target) Closed(now time.Time) bool {
 	return t.Leaving || t.Drained || !t.Until.IsZero() && !now.Before(t.Until)
 }
 
-// target is what the state knows of a Target.
+// target is a Target with the state that this router keeps about it.
 type target struct {
 	Target
-	// hash is that of the id, name that of its incarnation.
-	hash  uint64
-	name  string
-	own   view.Load
-	cache *prefix.Cache
+	// hash is the rendezvous hash of the id. incarnation is the name that Target.Incarnation
+	// returns.
+	hash        uint64
+	incarnation string
+	localLoad   view.Load
+	cache       *prefix.Cache
 	health
-	// running holds the own requests that were sent to the target and have not ended.
+	// running holds this router's requests that were sent to the target and have not ended.
 	running map[*Ticket]struct{}
-	// waiting holds the own requests that the target has not begun, oldest
+	// waiting holds this router's requests that the target has not started to answer, oldest
 	// first.
 	waiting []*Ticket
-	// coldUntil is until when the target may be cold, recent counts what was sent to it
-	// lately.
+	// coldUntil is the latest time at which the target is still cold, recent counts the
+	// requests sent to it lately.
 	coldUntil time.Time
 	recent    coldstart.Window
-	// takes is how long a request takes that finds a slot, learnt; 0 if unknown.
-	takes time.Duration
-	// said is what the target said of itself in its answers; nil if nothing.
-	said *advice.Record
-	// trial is the request that was sent first after a rest and has no answer yet.
-	trial *Ticket
-	// refusals is how many requests in a row the target turned away without asking for a
-	// rest.
-	refusals int
+	// serviceTime is the average time of requests that found a free slot; 0 if unknown.
+	serviceTime time.Duration
+	// reported is what the target reported about itself in its answers; nil if nothing.
+	reported *advice.Record
+	// probe is the first request sent after a backoff, until the target takes it.
+	probe *Ticket
+	// consecutiveRefusals is the number of consecutive requests that the target rejected without asking
+	// for a backoff.
+	consecutiveRefusals int
 }
 
 // State is the control state of a router. Use New to make one.
@@ -140,57 +139,58 @@
 	random  *rand.Rand
 	table   *routing.Table
 	targets map[string]*target
-	// services has the targets of each service in the order of their ids.
+	// services has the targets of each service, sorted by id.
 	services map[string][]*target
-	// paces has what is known of the engines of each service.
+	// paces has the learnt prefill times of the engines of each service.
 	paces map[string]*pace.Model
 	queue []*Ticket
-	// dispatched is when waiting requests were last looked through.
-	dispatched time.Time
-	shares     shares
-	// others is what other routers reported.
-	others *view.View
-	// running is the number of other routers that are believed to be running,
-	// serving that of those which serve callers.
-	running, serving int
-	level            level
-	budget           budget
-	throttle         *throttle.Control
-	// good, suspect, near and missing are room for choosing a target.
+	// lastDispatch is when the queue was last searched.
+	lastDispatch time.Time
+	shares       shares
+	// peers is what other routers reported.
+	peers *view.View
+	// runningPeers is the number of other routers believed to be runningPeers, servingPeers how
+	// many of those serve callers.
+	runningPeers, servingPeers int
+	level                      level
+	budget                     budget
+	throttle                   *throttle.Control
+	// good, suspect, near and missing are scratch space for choosing a target.
 	good, suspect, near []*target
 	missing             []int
-	// notify is told of loads that others should know at once; nil if nobody
-	// is to be told.
-	notify  func(target string, now, added view.Load)
-	notices notices
-	// coldPart says how many requests may be sent to a cold target in a second; nil for
-	// none. heldCold is how often one was passed over.
-	coldPart func(now time.Time, target string, r coldstart.Rate) int
-	heldCold int64
-	advice   advice.Book
-	against  Against
-	// paused counts the rests that no target asked for.
-	paused int64
+	// notify is called with loads that other routers should learn at once; nil if not set.
+	notify        func(target string, now, added view.Load)
+	notifyLimiter notifyLimiter
+	// coldAllowance returns how many requests this router may send to a cold target in a
+	// second; a nil function allows none. coldSkips counts how often a target was skipped for
+	// that.
+	coldAllowance func(now time.Time, target string, r coldstart.Rate) int
+	coldSkips     int64
+	advice        advice.Book
+	against       Against
+	// backoffs counts the backoffs that this router started without a target having asked for
+	// one.
+	backoffs int64
 }
 
-// New returns the state of a router in an availability zone, without targets.
+// New returns the state of a router in an availability zone, without any targets.
 func New(now time.Time, zone string, limits Limits, random *rand.Rand) *State {
 	return &State{
-		zone:     zone,
-		limits:   limits,
-		random:   random,
-		targets:  map[string]*target{},
-		services: map[string][]*target{},
-		paces:    map[string]*pace.Model{},
-		throttle: throttle.New(tickTime, maxWaitingOne),
-		shares:   newShares(limits.QuotaWindow),
-		others:   view.New(now, limits.QuotaWindow),
-		notices:  notices{left: 1, at: now},
-		budget:   budget{start: now, services: map[string]*history{}},
+		zone:          zone,
+		limits:        limits,
+		random:        random,
+		targets:       map[string]*target{},
+		services:      map[string][]*target{},
+		paces:         map[string]*pace.Model{},
+		throttle:      throttle.New(tickInterval, maxWaitingPerOrganisation),
+		shares:        newShares(limits.QuotaWindow),
+		peers:         view.New(now, limits.QuotaWindow),
+		notifyLimiter: notifyLimiter{remaining: 1, updated: now},
+		budget:        budget{start: now, histories: map[string]*history{}},
 	}
 }
 
-// Configure takes over a new configuration.
+// Configure applies a new configuration.
 func (s *State) Configure(t *routing.Table) {
 	s.table = t
 	s.shares.capacity = t.Limits().TokensPerSecond
@@ -206,65 +206,65 @@
 	return 0
 }
 
-// Arrive takes in a request. Its decision follows on the ticket's channel, at
-// once or when there is room or the request has waited long enough.
+// Arrive accepts a request. Its decision follows on the ticket's channel: at once, when there
+// is room, or when the request has waited long enough.
 func (s *State) Arrive(now time.Time, t *Ticket) {
-	s.budget.request(now, t.Service)
-	s.shares.asked(now, t.Organisation, t.tokens())
+	s.budget.countRequest(now, t.Service)
+	s.shares.addDemand(now, t.Organisation, t.tokens())
 	s.arrive(now, t)
 }
 
-// Again takes in a request that is to be sent once more. It returns false if
-// the retry budget is spent; the ticket then gets no decision.
+// Again accepts a retry of a request. It returns false if the retry budget is spent; the
+// ticket then gets no decision.
 func (s *State) Again(now time.Time, t *Ticket) bool {
-	if !s.budget.allow(now, t.Service, s.limits, s.routers()) {
+	if !s.budget.allowRetry(now, t.Service, s.limits, s.routers()) {
 		return false
 	}
-	s.budget.repeat(now, t.Service)
+	s.budget.countRetry(now, t.Service)
 	s.arrive(now, t)
 	return true
 }
 
-// Unsent takes in a request whose send found no connection. It counts neither
-// as another request nor as a retry.
+// Unsent accepts again a request that was not sent for lack of a connection. It counts neither
+// as a new request nor as a retry.
 func (s *State) Unsent(now time.Time, t *Ticket) { s.arrive(now, t) }
 
-// MayLeave reports whether a request may leave the target that it was sent to
-// for another: nothing has come from the target for a while, the retry budget
-// allows it, and there is another target.
+// MayLeave reports whether a request may be moved from the target that it was sent to to
+// another one: the target has sent nothing for the time silent, the retry budget allows it,
+// and there is another usable target.
 func (s *State) MayLeave(now time.Time, t *Ticket, silent time.Duration) bool {
-	if t.at == nil || now.Sub(t.Arrived)-time.Duration(t.Heard.Load()) < silent {
+	if t.target == nil || now.Sub(t.Arrived)-time.Duration(t.Heard.Load()) < silent {
 		return false
 	}
-	if !s.budget.allow(now, t.Service, s.limits, s.routers()) {
+	if !s.budget.allowRetry(now, t.Service, s.limits, s.routers()) {
 		return false
 	}
 	return slices.ContainsFunc(s.services[t.Service], func(c *target) bool {
-		return c != t.at && !c.Closed(now) && !c.suspected(now) && !c.unrested(now) && !slices.Contains(t.Tried, c.name)
+		return c != t.target && !c.Closed(now) && !c.suspected(now) && !c.backingOffOrProbed(now) && !slices.Contains(t.Tried, c.incarnation)
 	})
 }
 
 func (s *State) arrive(now time.Time, t *Ticket) {
-	t.begun = false
-	t.expires = now.Add(t.patience())
+	t.started = false
+	t.expires = now.Add(t.maxWait())
 	if t.expires.After(t.Deadline) {
 		t.expires = t.Deadline
 	}
-	if !s.behind(now, t) && s.assign(now, t) {
+	if !s.mustQueue(now, t) && s.assign(now, t) {
 		return
 	}
 	if why, ok := s.unservable(now, t); ok {
 		s.refuse(now, t, why)
 		return
 	}
-	if !t.Resumes && (len(s.queue) >= maxWaiting || s.crowds(t)) {
+	if !t.Resumes && (len(s.queue) >= maxQueueLength || s.exceedsWaitingLimit(t)) {
 		s.refuse(now, t, Full)
 		return
 	}
 	s.queue = append(s.queue, t)
 }
 
-// assign sends a request to a target with room, if there is one.
+// assign sends a request to the best target with room, if there is one.
 func (s *State) assign(now time.Time, t *Ticket) bool {
 	best, ok := s.choose(now, t)
 	if !ok {
@@ -274,30 +274,30 @@
 	return true
 }
 
-func (s *State) send(now time.Time, t *Ticket, p place) {
+func (s *State) send(now time.Time, t *Ticket, p placement) {
 	to := p.target
 	invariant.Check(!to.Closed(now), invariant.LeftInTime)
-	t.at = to
-	t.sent = now
-	t.free = !t.Engine && s.loadOf(now, to).Running < to.Slots
-	t.load = view.Load{Unread: p.read, Running: 1, Memory: t.private()}
+	t.target = to
+	t.sentAt = now
+	t.foundFreeSlot = !t.Engine && s.loadOf(now, to).Running < to.Slots
+	t.load = view.Load{Unread: p.missTokens, Running: 1, Memory: t.unsharedTokens()}
 	t.work = p.work
-	to.own = to.own.Plus(t.load)
+	to.localLoad = to.localLoad.Plus(t.load)
 	to.waiting = append(to.waiting, t)
 	to.running[t] = struct{}{}
 	to.cache.Add(now, t.Parts)
 	to.recent.Add(now)
-	s.heed(now, t, to)
+	s.noteSent(now, t, to)
 	if t.Engine {
-		s.shares.begun(now, t.Organisation, t.tokens())
+		s.shares.addServed(now, t.Organisation, t.tokens())
 		s.throttle.Sent(t.Organisation, t.offer())
 	}
-	if s.notify != nil && s.notices.take(now, p.read, s.serving+1) {
-		s.notify(to.name, to.own, t.load)
+	if s.notify != nil && s.notifyLimiter.allow(now, p.missTokens, s.servingPeers+1) {
+		s.notify(to.incarnation, to.localLoad, t.load)
 	}
-	d := Decision{Target: to.Target, Waited: now.Sub(t.Arrived), Unread: s.loadOf(now, to).Unread, Miss: p.read}
+	d := Decision{Target: to.Target, Waited: now.Sub(t.Arrived), Unread: s.loadOf(now, to).Unread, Miss: p.missTokens}
 	if p.source != nil {
-		d.Source, d.Fetched = p.source.Target, p.fetched
+		d.Source, d.Fetched = p.source.Target, p.fetchTokens
 	}
 	if !to.Lapsed.IsZero() {
 		d.Lapsed = now.Sub(to.Lapsed)
@@ -305,62 +305,62 @@
 	t.Decision <- d
 }
 
-// Begun notes that a request's target has begun to answer it.
+// Begun records that a request's target has started to answer it.
 func (s *State) Begun(now time.Time, t *Ticket) {
-	if t.begun || t.at == nil {
+	if t.started || t.target == nil {
 		return
 	}
-	t.begun = true
-	t.at.tried(t)
-	t.at.refusals = 0
-	t.at.progress = now
+	t.started = true
+	t.target.endProbe(t)
+	t.target.consecutiveRefusals = 0
+	t.target.lastProgress = now
 	if t.Engine && t.Stream {
-		s.pace(t.Service).Observe(t.work, now.Sub(t.sent))
+		s.pace(t.Service).Observe(t.work, now.Sub(t.sentAt))
 	}
-	t.at.own.Unread -= t.load.Unread
+	t.target.localLoad.Unread -= t.load.Unread
 	t.load.Unread = 0
-	t.at.forget(t)
+	t.target.forget(t)
 	s.dispatch(now)
 }
 
-// Ended notes that a request's exchange with its target is over.
+// Ended records that a request's exchange with its target is over.
 func (s *State) Ended(now time.Time, t *Ticket, how Result) {
-	to := t.at
+	to := t.target
 	if to == nil {
 		return
 	}
-	t.at = nil
-	to.own = to.own.Minus(t.load)
+	t.target = nil
+	to.localLoad = to.localLoad.Minus(t.load)
 	to.forget(t)
 	delete(to.running, t)
 	if how == Answered {
-		to.tried(t)
-	} else if to.trial == t {
-		to.trial = nil
+		to.endProbe(t)
+	} else if to.probe == t {
+		to.probe = nil
 	}
 	if how == Refused {
-		s.turnedAway(now, to)
+		s.countRefusal(now, to)
 	}
-	to.note(now, how)
-	if how == Answered && !t.Engine && t.free {
-		to.learn(now.Sub(t.sent))
+	to.record(now, how)
+	if how == Answered && !t.Engine && t.foundFreeSlot {
+		to.learnServiceTime(now.Sub(t.sentAt))
 	}
 	if how == Answered && t.Stream && t.Output > 0 {
 		s.throttle.Learn(int(t.Pieces.Load()), t.Output)
 	}
 	if how == Refused || how == Unreachable {
-		s.shares.begun(now, t.Organisation, -t.tokens())
+		s.shares.addServed(now, t.Organisation, -t.tokens())
 	}
 	s.dispatch(now)
 }
 
-// learn learns how long requests take that find a slot.
-func (t *target) learn(took time.Duration) {
-	if t.takes == 0 {
-		t.takes = took
+// learnServiceTime adds the time of a request that found a free slot to the average.
+func (t *target) learnServiceTime(took time.Duration) {
+	if t.serviceTime == 0 {
+		t.serviceTime = took
 		return
 	}
-	t.takes += time.Duration(takesWeight * float64(took-t.takes))
+	t.serviceTime += time.Duration(serviceTimeWeight * float64(took-t.serviceTime))
 }
 
 func (t *target) forget(k *Ticket) {
@@ -369,11 +369,11 @@
 	}
 }
 
-// Tick refuses what has waited long enough and looks for targets that have
-// fallen silent. Call it every few tens of milliseconds.
+// Tick refuses requests that have waited long enough and suspects targets that have fallen
+// silent. It must be called every few tens of milliseconds.
 func (s *State) Tick(now time.Time) {
 	for _, t := range s.targets {
-		t.watch(now)
+		t.checkSilence(now)
 	}
 	s.dispatch(now)
 	kept := s.queue[:0]
@@ -382,15 +382,15 @@
 			kept = append(kept, t)
 			continue
 		}
-		s.refuse(now, t, s.reason(now, t))
+		s.refuse(now, t, s.refusalReason(now, t))
 	}
 	clear(s.queue[len(kept):])
 	s.queue = kept
 }
 
-// SetLimits takes over changed limits.
+// SetLimits applies changed limits.
 func (s *State) SetLimits(l Limits) {
 	s.limits = l
 	s.shares.window = l.QuotaWindow
-	s.others.SetWindow(l.QuotaWindow)
+	s.peers.SetWindow(l.QuotaWindow)
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -24,15 +24,15 @@
 
 var limits = balance.Limits{RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10 * time.Second, QuotaWindow: 4 * time.Second}
 
-// world is a state under test and its time.
+// world is a state under test with its simulated time.
 type world struct {
 	*balance.State
 	now     time.Time
 	tickets int
 }
 
-// newWorld returns a state with n engines of service "llm" and n targets of
-// service "plain".
+// newWorld returns a state with n engines of service "llm" and n targets of the plain service
+// "plain".
 func newWorld(n int) *world {
 	w := &world{now: time.Now()}
 	w.State = balance.New(w.now, "z", limits, rand.New(rand.NewPCG(1, 2)))
@@ -58,8 +58,8 @@
 	return list
 }
 
-// prompt returns a ticket of an organisation for a prompt with a shared part
-// and one of its own.
+// prompt returns a ticket of an organisation for a prompt with a shared prefix of 6,000 tokens
+// and own unshared tokens.
 func (w *world) prompt(organisation, shared string, own int) *balance.Ticket {
 	w.tickets++
 	return &balance.Ticket{
@@ -78,7 +78,7 @@
 	}
 }
 
-// arrive takes a ticket in and returns the decision, nil if it waits.
+// arrive passes a ticket to the state and returns its decision, or nil if it waits.
 func (w *world) arrive(t *balance.Ticket) *balance.Decision {
 	w.Arrive(w.now, t)
 	return decision(t)
@@ -93,20 +93,20 @@
 	}
 }
 
-// pass lets time go by.
+// advance moves the time forward.
 func (w *world) pass(d time.Duration) {
 	w.now = w.now.Add(d)
 	w.Tick(w.now)
 }
 
-// serve runs a ticket to its end.
+// complete runs a ticket to its successful end.
 func (w *world) serve(t *balance.Ticket) {
 	w.Begun(w.now, t)
 	w.Ended(w.now, t, balance.Answered)
 }
 
 var _ = Describe("Choice of a target", func() {
-	It("keeps a shared part at one engine", func() {
+	It("sends prompts with the same shared prefix to one engine", func() {
 		w := newWorld(5)
 		first := w.prompt("o", "shared", 100)
 		home := w.arrive(first).Target.ID
@@ -118,7 +118,7 @@
 		}
 	})
 
-	It("names the same engine as other routers do", func() {
+	It("is the same engine on every router", func() {
 		a, b := newWorld(5), newWorld(5)
 		for i := range 20 {
 			shared := fmt.Sprint("s", i)
@@ -128,7 +128,7 @@
 		}
 	})
 
-	It("leaves out targets that leave, and those tried before", func() {
+	It("excludes leaving targets and those tried before", func() {
 		w := newWorld(2)
 		list := targets(2)
 		for i := range list {
@@ -143,7 +143,7 @@
 		Expect(w.arrive(t)).To(BeNil())
 	})
 
-	It("leaves out targets whose entry has been gone too long, whether or not that was told", func() {
+	It("excludes targets whose entry lapsed too long ago, even before the list is updated", func() {
 		w := newWorld(2)
 		list := targets(2)
 		for i := range list {
@@ -170,7 +170,7 @@
 		Expect(decision(t).Refused).To(Equal(balance.Full))
 	})
 
-	It("gives plain targets no more than they can queue", func() {
+	It("gives plain targets no more requests than they may queue", func() {
 		w := newWorld(1)
 		for range 9 {
 			Expect(w.arrive(w.plain())).NotTo(BeNil())
@@ -181,7 +181,7 @@
 		Expect(decision(last).Refused).To(Equal(balance.Full))
 	})
 
-	It("refuses at once where a service has no target", func() {
+	It("refuses requests to a service without targets", func() {
 		w := newWorld(0)
 		t := w.plain()
 		w.Arrive(w.now, t)
@@ -192,10 +192,9 @@
 	})
 })
 
-var _ = Describe("Shared parts", func() {
-	// fill sends prompts of an organisation with one shared part until an
-	// engine other than the first is chosen; it returns both decisions, the
-	// second nil if there is no room.
+var _ = Describe("Shared prompt prefixes", func() {
+	// fill sends prompts of an organisation with one shared prefix until an engine other than
+	// the first is chosen. It returns both decisions; the second is nil if there is no room.
 	fill := func(w *world, organisation string) (home, away *balance.Decision) {
 		home = w.arrive(w.prompt(organisation, "shared", 1000))
 		for range 30 {
@@ -207,7 +206,7 @@
 		return home, nil
 	}
 
-	It("are fetched from where they are kept rather than read again", func() {
+	It("are fetched from the engine that caches them rather than read again", func() {
 		w := newWorld(2)
 		home, away := fill(w, "o")
 		Expect(home.Source.ID).To(BeEmpty())
@@ -217,7 +216,7 @@
 		Expect(away.Fetched).To(Equal(6000))
 	})
 
-	It("are not fetched for organisations that had their share", func() {
+	It("are not fetched for organisations over their share", func() {
 		w := newWorld(2)
 		for range 100 {
 			t := w.prompt("o", "other", 1000)
@@ -229,7 +228,7 @@
 		Expect(away).To(BeNil())
 	})
 
-	It("are kept in the router's availability zone if they are short, else anywhere", func() {
+	It("are cached in the router's availability zone if they are short, else anywhere", func() {
 		w := newWorld(8)
 		list := targets(8)
 		for i := range list {
@@ -253,7 +252,7 @@
 		Expect(far[6000]).To(BeNumerically(">", 20))
 	})
 
-	It("are kept in the router's availability zone where most of the prompt has to be read anyway", func() {
+	It("are cached in the router's availability zone if most of the prompt must be read anyway", func() {
 		w := newWorld(8)
 		list := targets(8)
 		for i := range list {
@@ -277,7 +276,7 @@
 		Expect(far[400]).To(BeNumerically(">", 10))
 	})
 
-	It("are not taken to be kept where they were last used long ago", func() {
+	It("are assumed to be evicted where they were last used long ago", func() {
 		w := newWorld(2)
 		first := w.prompt("o", "shared", 1000)
 		home := w.arrive(first).Target
@@ -292,8 +291,8 @@
 	})
 })
 
-var _ = Describe("A target that fails", func() {
-	It("is avoided, and tried again later", func() {
+var _ = Describe("A failing target", func() {
+	It("is avoided and retried later", func() {
 		w := newWorld(2)
 		t := w.prompt("o", "s", 10)
 		bad := w.arrive(t).Target.ID
@@ -311,7 +310,7 @@
 		}).Should(Equal(bad))
 	})
 
-	It("is avoided when it has fallen silent", func() {
+	It("is avoided if it makes no progress", func() {
 		w := newWorld(2)
 		silent := w.arrive(w.prompt("o", "s", 10)).Target.ID
 		w.pass(time.Second)
@@ -320,7 +319,7 @@
 })
 
 var _ = Describe("Shares", func() {
-	It("give room to large prompts of organisations that had little", func() {
+	It("leave room for large prompts of organisations that were served little", func() {
 		w := newWorld(1)
 		// A large organisation keeps the only engine busy with small prompts.
 		for range 200 {
@@ -337,7 +336,7 @@
 		Expect(w.arrive(t)).NotTo(BeNil(), "a prompt that the engine must read whole")
 	})
 
-	It("go to organisations that had less before those that had more", func() {
+	It("serve the organisation that was served least first", func() {
 		w := newWorld(1)
 		var running []*balance.Ticket
 		for {
@@ -357,15 +356,15 @@
 	})
 })
 
-// reportOver is what another router tells where the organisation "large" had
-// ten times its share, beside what it tells of "other".
+// reportOver returns another router's report in which the organisation "large" was served ten
+// times its share, and "other" has the given usage.
 func reportOver(other view.Usage) view.Report {
 	return view.Report{Usage: map[string]view.Usage{
 		"large": {Asked: 20 * tokensPerSecond, Begun: 10 * tokensPerSecond}, "heavy": {Asked: 20 * tokensPerSecond}, "other": other,
 	}}
 }
 
-var _ = Describe("Requests that wait at other routers", func() {
+var _ = Describe("Requests waiting at other routers", func() {
 	It("go first until the next report is due", func() {
 		for name, c := range map[string]struct {
 			period, age time.Duration
@@ -384,28 +383,28 @@
 		}
 	})
 
-	It("hold back only those of organisations that had more than their share and half as much again", func() {
+	It("delay only organisations over their share that were served over 1.4 times as much", func() {
 		for had, waits := range map[float64]bool{8: false, 6: true} {
 			w := newWorld(1)
 			w.Heard(w.now, "r", reportOver(view.Usage{Asked: had * tokensPerSecond, Begun: had * tokensPerSecond, Waiting: 1}))
-			// What is too old is looked for once in 20 ms.
+			// Expired reports are looked for once in 20 ms.
 			w.pass(25 * time.Millisecond)
-			Expect(w.arrive(w.prompt("large", "s", 1000)) == nil).To(Equal(waits), "other organisation had %g, large 10", had)
+			Expect(w.arrive(w.prompt("large", "s", 1000)) == nil).To(Equal(waits), "other organisation was served %g, large 10", had)
 		}
 	})
 
-	It("hold back none of an organisation within its share", func() {
+	It("do not delay an organisation within its share", func() {
 		w := newWorld(1)
 		w.Heard(w.now, "r", reportOver(view.Usage{Asked: 1, Begun: 1, Waiting: 1}))
 		t := w.prompt("small", "s", 1000)
 		Expect(w.arrive(t)).NotTo(BeNil())
 		w.serve(t)
-		Expect(w.arrive(w.prompt("small", "s", 1000))).NotTo(BeNil(), "had 7,100 and the other 1")
+		Expect(w.arrive(w.prompt("small", "s", 1000))).NotTo(BeNil(), "was served 7,100 tokens and the other 1")
 	})
 })
 
-var _ = Describe("A prompt that takes long to read", func() {
-	It("is told of at once, and others then go elsewhere", func() {
+var _ = Describe("A long prompt", func() {
+	It("is announced at once, and other routers avoid its engine", func() {
 		here, there := newWorld(2), newWorld(2)
 		var told []string
 		here.Notify(func(target string, l, _ view.Load) {
@@ -423,9 +422,9 @@
 	})
 })
 
-var _ = Describe("Telling of long prompts", func() {
-	// second returns how many of 100 prompts of a size that arrive within a second
-	// others are told of.
+var _ = Describe("Announcements of long prompts", func() {
+	// second returns how many of 100 prompts of a size that arrive within a second are
+	// announced to the other routers.
 	second := func(serving, tokens int) int {
 		w := newWorld(8)
 		w.SetOthers(serving, serving)
@@ -441,7 +440,7 @@
 		return told
 	}
 
-	It("grows rarer with the number of routers that hear it, and ends last for the longest", func() {
+	It("become rarer the more routers receive them, and longer prompts keep theirs", func() {
 		few, many := second(7, 4000), second(41, 4000)
 		Expect(few).To(BeNumerically(">", 2*many))
 		Expect(many).To(BeNumerically("<=", 2*250/42))
@@ -451,7 +450,7 @@
 })
 
 var _ = Describe("The retry budget", func() {
-	It("allows a part of the requests and the router's part of the slack", func() {
+	It("allows the retry ratio of the requests and the router's part of the slack", func() {
 		w := newWorld(3)
 		for i := range 4 {
 			w.Heard(w.now, fmt.Sprint("r", i), view.Report{})
@@ -477,7 +476,7 @@
 		Expect(retries).To(BeNumerically(">=", 10))
 	})
 
-	It("does not grow by sends that found no connection", func() {
+	It("does not grow with requests that found no connection", func() {
 		w := newWorld(3)
 		for range 1000 {
 			t := w.plain()
@@ -497,7 +496,7 @@
 		Expect(retries).To(BeNumerically("<=", limits.RetrySlack))
 	})
 
-	It("is there again after its window", func() {
+	It("is restored after its window", func() {
 		w := newWorld(3)
 		retry := func() bool {
 			t := w.plain()
--- a/internal/balance/bench_test.go
+++ b/internal/balance/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/stepcroft/stepcroft/internal/view"
 )
 
-// BenchmarkFlood measures the control thread's work for one request of an
-// organisation that floods a router of a large fleet, and for its refusal.
+// BenchmarkFlood measures the work of the control goroutine for a request of an organisation
+// that floods a router of a large fleet, and for its refusal.
 func BenchmarkFlood(b *testing.B) {
 	for name, routers := range map[string]int{"6 routers": 6, "58 routers": 58} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/balance/box_test.go
+++ b/internal/balance/box_test.go
@@ -14,45 +14,44 @@
 )
 
 const (
-	// boxCores is what a small box may use of a core.
+	// boxCores is the part of a core that a small box may use.
 	boxCores = 0.192
-	// requestCost, eventCost and refusalCost are the processor time that a request
-	// without its events takes, an event passed on by itself, and a refusal of a
-	// request that is not read, from a processor profile of a router under such
-	// requests.
+	// The processor time of a request without its events (requestCost), of forwarding a single
+	// event (eventCost), and of refusing a request before it is parsed (refusalCost), from a
+	// processor profile of a router under such requests.
 	requestCost = 190 * time.Microsecond
 	eventCost   = 36 * time.Microsecond
 	refusalCost = 80 * time.Microsecond
-	// acceptCost is what accepting a new connection takes and closing it; lookCost what it
-	// takes more until its request is looked at, and earlyCost until it is refused instead
-	// before the HTTP server has the connection.
+	// acceptCost is the processor time to accept and close a connection. inspectCost is added
+	// until its request is inspected; earlyRefusalCost is added instead if it is refused
+	// before the HTTP server gets the connection.
 	acceptCost, lookCost, earlyCost = 30 * time.Microsecond, 30 * time.Microsecond, 15 * time.Microsecond
-	// listenMost is how many connections the kernel keeps for a small box that were not
-	// accepted yet, and connectMost for how long a caller waits to be among them.
+	// maxListenBacklog is the number of connections that the kernel of a small box queues
+	// before they are accepted, and connectTimeout how long a caller waits to get into that
+	// queue.
 	listenMost  = 320
 	connectMost = time.Second
-	// turnsMost is how many connections are accepted in a row before others get the processor:
-	// a goroutine that never waits runs for some 10 ms.
+	// maxAcceptsInRow is the number of connections accepted in a row before other goroutines
+	// get the processor: a goroutine that never blocks runs for some 10 ms.
 	turnsMost = 222
-	// connectTime is what it takes a caller that was turned away to connect again.
+	// reconnectTime is the time that a rejected caller takes to connect again.
 	connectTime = 4 * time.Millisecond
-	// tickCost is what a turn of the control loop takes.
+	// tickCost is the processor time of an iteration of the control loop.
 	tickCost = 20 * time.Microsecond
-	// readShare is the part of requestCost, in percent, spent before the request is
-	// decided on.
+	// parsePercent is the part of requestCost that is spent before the request is decided on.
 	readShare = 60
 	// eventGap is the time between an engine's events.
 	eventGap = 50 * time.Millisecond
-	// readTime is what an engine takes to read a prompt.
+	// readTime is the time that an engine takes to read a prompt.
 	readTime = 100 * time.Millisecond
-	// coalesceMost is for how long events may come together, in milliseconds.
+	// maxCoalesceMillis is the longest time for which events are coalesced, in milliseconds.
 	coalesceMost = 100
-	// bestServed is what another organisation gets meanwhile, in tokens a second.
+	// bestServedRate is what another organisation is served meanwhile, in tokens a second.
 	bestServed = 1_097_000
 )
 
-// kind is a kind of request: how often it comes among all, what its prompt and
-// answer hold, in tokens, and how many events its answer has.
+// kind is a kind of request: its relative frequency, the tokens of its prompt and answer, and
+// the number of events of its answer.
 type kind struct {
 	weight, input, output, events int
 	goal                          time.Duration
@@ -66,14 +65,13 @@
 
 func (k kind) tokens() float64 { return float64(k.input + 2*k.output) }
 
-// second is what happened to the requests that came in a second.
+// second counts the requests that arrived within a second, and their tokens.
 type second struct {
 	asked, got         float64
 	requests, unserved int
 }
 
-// event is something that happens at a time; job is work that waits for the
-// processor.
+// event is an action at a point in time; job is work that waits for the processor.
 type event struct {
 	at time.Time
 	do func()
@@ -84,7 +82,7 @@
 	do   func()
 }
 
-// events is a heap by time.
+// events is a heap ordered by time.
 type events []event
 
 func (h events) Len() int           { return len(h) }
@@ -98,12 +96,12 @@
 	return e
 }
 
-// box plays a router on a small box in virtual time: one organisation's callers
-// come to it and to no other, and engines have room for all that they ask. A caller
-// that is refused comes back once.
+// box simulates a router on a small box in virtual time. The callers of one organisation use
+// only this router, and engines have room for all their requests. A refused caller retries
+// once.
 type box struct {
 	*State
-	// cores is what the box may use of a core.
+	// cores is the part of a core that the box may use.
 	cores      float64
 	now, start time.Time
 	events     events
@@ -114,21 +112,22 @@
 	gates      map[string]*throttle.Gate
 	seconds    []second
 	requests   int
-	// late is set where the control loop waits for the processor like all else, and
-	// longest is the longest that a request waited there before it was decided on.
+	// contended is set if the control loop competes for the processor with everything else.
+	// longestWait is the longest time that a request waited for the processor before it was
+	// decided on.
 	late    bool
 	backlog backlog.Queue
 	longest time.Duration
-	// kernel are the connections that were not accepted yet.
+	// listenBacklog holds the connections that were not accepted yet.
 	kernel    []arrival
 	accepting bool
-	// heedless is the part of callers that do not wait as they are told when they are refused,
-	// but connect again at once, returnsMost times.
+	// impatient is the fraction of callers that ignore Retry-After when they are refused, and
+	// instead reconnect at once, maxReconnects times.
 	heedless float64
 }
 
-// arrival is a connection that waits to be accepted, for a request of a kind that is then
-// refused or taken in.
+// arrival is a connection that waits to be accepted, and what to do when its request is
+// refused or admitted.
 type arrival struct {
 	kind    kind
 	came    time.Time
@@ -136,7 +135,7 @@
 	taken   func(came time.Time)
 }
 
-// newBox returns a box before anybody comes.
+// newBox returns a box that no caller has used yet.
 func newBox(t *testing.T, seed uint64) *box {
 	t.Helper()
 	now := time.Unix(1000, 0)
@@ -160,7 +159,7 @@
 	heap.Push(&b.events, event{b.now.Add(max(d, 0)), do})
 }
 
-// work lets the processor do something, after what it has to do already.
+// work queues a job for the processor behind those already queued.
 func (b *box) work(cost time.Duration, do func()) {
 	b.jobs = append(b.jobs, job{cost, do})
 	b.next()
@@ -181,8 +180,8 @@
 	})
 }
 
-// play lets callers come at rates, in requests a second, each for a time, and
-// returns what became of the requests of each second.
+// run simulates callers that arrive at the given rates, in requests a second, each rate for
+// the given time. It returns the counts of each second.
 func (b *box) play(rates []float64, each time.Duration) []second {
 	total := time.Duration(len(rates)) * each
 	b.seconds = make([]second, int(total/time.Second)+1)
@@ -202,8 +201,8 @@
 	return b.seconds[:len(b.seconds)-1]
 }
 
-// waitFor does something after what the processor has to do already, as the control
-// loop does, or at once where that is not played.
+// workInLoop runs a step of the control loop: queued for the processor if the loop is
+// contended, else at once.
 func (b *box) waitFor(cost time.Duration, do func()) {
 	if !b.late {
 		do()
@@ -212,18 +211,18 @@
 	b.work(cost, do)
 }
 
-// tick does what the control loop does between events.
+// tick simulates what the control loop does at each tick.
 func (b *box) tick(n int, used time.Duration, looked time.Time) {
 	b.Tick(b.now)
-	if n%busyTicks == 0 && n > 0 {
+	if n%meterTicks == 0 && n > 0 {
 		b.SetBusy(b.now, (b.used-used).Seconds()/(b.now.Sub(looked).Seconds()*b.cores), b.cores)
 		used, looked = b.used, b.now
 	}
 	b.gates = b.gatesAt(b.now)
-	b.after(tickTime, func() { b.waitFor(tickCost, func() { b.tick(n+1, used, looked) }) })
+	b.after(tickInterval, func() { b.waitFor(tickCost, func() { b.tick(n+1, used, looked) }) })
 }
 
-// draw returns a kind of request.
+// drawKind returns a random kind of request.
 func (b *box) draw() kind {
 	total := 0
 	for _, k := range kinds {
@@ -238,7 +237,7 @@
 	return kinds[0]
 }
 
-// come lets a request come whose caller comes back so often.
+// arrive simulates a request whose caller retries so many times if it is refused.
 func (b *box) come(k kind, again int) {
 	b.requests++
 	s := &b.seconds[b.now.Sub(b.start)/time.Second]
@@ -265,7 +264,8 @@
 	}
 }
 
-// connect lets a caller connect that does so again at once, so many times, if it is refused.
+// connect simulates a caller's connection. If it is refused, the caller reconnects at once, so
+// many times.
 func (b *box) connect(returns int, a arrival) {
 	if returns > 0 {
 		wait := a
@@ -283,8 +283,8 @@
 	}
 }
 
-// accept takes a connection in, as the one goroutine does that accepts. It goes on with the next
-// one, so many times, before others get the processor.
+// accept simulates the goroutine that accepts connections. It accepts so many in a row before
+// others get the processor.
 func (b *box) accept(turns int) {
 	a := b.kernel[0]
 	b.kernel = b.kernel[1:]
@@ -311,7 +311,7 @@
 	}
 }
 
-// look lets the router look at a connection for the first time.
+// inspect simulates the router's first look at a connection.
 func (b *box) look(place *list.Element, a arrival) {
 	if b.backlog.Look(b.now, place, b.short()) {
 		b.first(earlyCost, a.refused)
@@ -320,16 +320,16 @@
 	a.taken(a.came)
 }
 
-// short reports whether the router is short of processor time.
+// overloaded reports whether the router is short of processor time.
 func (b *box) short() bool { return b.throttle.Coalesce() > 0 }
 
-// first lets the processor do something before what it has to do already.
+// workFirst queues a job for the processor before all those already queued.
 func (b *box) first(cost time.Duration, do func()) {
 	b.jobs = append([]job{{cost, do}}, b.jobs...)
 	b.next()
 }
 
-// read lets a request in that came at a time.
+// parse simulates a request that arrived at a time and was admitted.
 func (b *box) read(k kind, came time.Time, s *second, refuse func()) {
 	t := &Ticket{
 		ID: fmt.Sprint(b.requests), Service: "llm", Organisation: "o", Engine: true, Stream: true,
@@ -351,7 +351,7 @@
 	})
 }
 
-// decided waits for a decision.
+// decided calls do with a request's decision as soon as there is one.
 func (b *box) decided(t *Ticket, do func(Decision)) {
 	select {
 	case d := <-t.Decision:
@@ -361,8 +361,8 @@
 	}
 }
 
-// pass passes on the events that an engine has made by now, of which so many were
-// passed on before.
+// forward simulates forwarding the events that an engine has produced by now, of which the
+// first so many were forwarded before.
 func (b *box) pass(k kind, t *Ticket, begin time.Time, passed int) {
 	b.work(eventCost, func() {
 		if passed == 0 {
@@ -379,13 +379,13 @@
 	})
 }
 
-// reads reports whether the router reads a request.
+// admits reports whether the router's gate admits a request.
 func (b *box) reads(k kind) bool {
 	g, o := b.gates["o"], throttle.Offer{Input: k.input, Output: k.output}
 	return g == nil || g.Crowds(o) == "" && g.Admit(o) == ""
 }
 
-// pause is for how long the router lets events of a stream come together.
+// coalesceDelay returns how long the router coalesces the events of a stream.
 func (b *box) pause() time.Duration {
 	return time.Duration(b.throttle.Coalesce() * coalesceMost * float64(time.Millisecond))
 }
--- a/internal/balance/budget.go
+++ b/internal/balance/budget.go
@@ -5,68 +5,68 @@
 )
 
 const (
-	// bucketTime is the grain, and buckets the length, of the counts behind
-	// the retry budget.
-	bucketTime = 500 * time.Millisecond
-	buckets    = 64
-	// budgetShare is the part of the budget, in percent, that routers use:
-	// windows slide, and the routers' parts are worked out apart.
-	budgetShare = 60
+	// bucketWidth is the time that one bucket of the retry budget's counts covers, and
+	// bucketCount the number of buckets kept.
+	bucketWidth = 500 * time.Millisecond
+	bucketCount = 64
+	// budgetPercent is the part of the retry budget that routers use. It is below 100 since
+	// windows slide and each router works out its part by itself.
+	budgetPercent = 60
 )
 
-// budget counts requests and retries by service. Its buckets are counted from
-// its start on the steady clock: the time of day may jump.
+// budget counts requests and retries by service. Its buckets are numbered from its start on
+// the monotonic clock, since the wall clock may jump.
 type budget struct {
-	start    time.Time
-	services map[string]*history
+	start     time.Time
+	histories map[string]*history
 }
 
 type history struct {
 	newest   int64
-	requests [buckets]int
-	repeats  [buckets]int
+	requests [bucketCount]int
+	retries  [bucketCount]int
 }
 
-func (b budget) of(now time.Time, service string) *history {
-	h := b.services[service]
+func (b budget) history(now time.Time, service string) *history {
+	h := b.histories[service]
 	if h == nil {
 		h = &history{}
-		b.services[service] = h
+		b.histories[service] = h
 	}
-	h.advance(int64(now.Sub(b.start) / bucketTime))
+	h.advance(int64(now.Sub(b.start) / bucketWidth))
 	return h
 }
 
 func (h *history) advance(to int64) {
-	if to-h.newest > buckets {
-		h.newest = to - buckets
+	if to-h.newest > bucketCount {
+		h.newest = to - bucketCount
 	}
 	for h.newest < to {
 		h.newest++
-		h.requests[h.newest%buckets] = 0
-		h.repeats[h.newest%buckets] = 0
+		h.requests[h.newest%bucketCount] = 0
+		h.retries[h.newest%bucketCount] = 0
 	}
 }
 
-func (b budget) request(now time.Time, service string) {
-	h := b.of(now, service)
-	h.requests[h.newest%buckets]++
+func (b budget) countRequest(now time.Time, service string) {
+	h := b.history(now, service)
+	h.requests[h.newest%bucketCount]++
 }
 
-func (b budget) repeat(now time.Time, service string) {
-	h := b.of(now, service)
-	h.repeats[h.newest%buckets]++
+func (b budget) countRetry(now time.Time, service string) {
+	h := b.history(now, service)
+	h.retries[h.newest%bucketCount]++
 }
 
-// allow reports whether this router, one of routers, may make one more retry.
-func (b budget) allow(now time.Time, service string, l Limits, routers int) bool {
-	h := b.of(now, service)
-	requests, repeats := 0, 0
-	for i := range int64(l.RetryWindow/bucketTime) + 1 {
-		at := (h.newest - i + buckets) % buckets
+// allowRetry reports whether this router, one of routers in the fleet, may make another retry.
+func (b budget) allowRetry(now time.Time, service string, l Limits, routers int) bool {
+	h := b.history(now, service)
+	requests, retries := 0, 0
+	for i := range int64(l.RetryWindow/bucketWidth) + 1 {
+		at := (h.newest - i + bucketCount) % bucketCount
 		requests += h.requests[at]
-		repeats += h.repeats[at]
+		retries += h.retries[at]
 	}
 	allowed := l.RetryRatio*float64(requests) + l.RetrySlack/float64(routers)
-	return float64(repeats+1) <= allowed*budgetShare/100
+	return float64(retries+1) <= allowed*budgetPercent/100
 }
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -9,114 +9,114 @@
 )
 
 const (
-	// rereadPrice is what reading a shared part anew counts beside the time
-	// that it takes, in percent of that time: it also pushes other parts out.
-	rereadPrice = 200
-	// fetchPrice is what fetching a part from another engine counts, in percent
-	// of the time to read it. It takes a fortieth of the time of reading and a tenth of
-	// its price, but each copy pushes other parts out, which are then read anew.
-	fetchPrice = 300
-	// zonePrice is the time that a target in another availability zone counts
-	// more: bytes between zones are paid for.
-	zonePrice = 4 * time.Millisecond
-	// nearShared is the number of shared tokens up to which a prompt is kept in
-	// each availability zone apart. Reading so few again costs less than
-	// passing the prompt and its answer from zone to zone each time. So is one of
-	// which no more than nearPart, in percent, is shared: most of it has to be read
-	// wherever it goes.
-	nearShared = 300
-	nearPart   = 50
-	// awayPrice is the time that an engine counts more than the one that hashing
-	// gives a prompt to: all routers go there, and copies elsewhere are dropped
-	// sooner.
-	awayPrice = 4 * time.Millisecond
-	// slotPrice is the time that a running request counts as: each makes the
-	// tokens of the others come slower.
-	slotPrice = 250 * time.Microsecond
-	// latePrice is what a target counts more at which a request is expected to
-	// miss its goal: it is chosen only if there is no other.
-	latePrice = time.Minute
+	// rereadPercent is what reading a shared prompt prefix again costs on top of the time to
+	// read it, in percent of that time: it also evicts other prefixes from the cache.
+	rereadPercent = 200
+	// fetchPercent is the cost of fetching a cached prefix from another engine, in percent of
+	// the time to read it. A fetch takes a fortieth of the time of reading and a tenth of its
+	// price, but each copy evicts other prefixes, which must then be read again.
+	fetchPercent = 300
+	// otherZoneCost is added for a target in another availability zone, since traffic between
+	// zones is paid for.
+	otherZoneCost = 4 * time.Millisecond
+	// Prompts with at most maxZoneLocalTokens shared tokens, or with at most
+	// maxZoneLocalPercent of their tokens shared, are cached in each availability zone
+	// separately. Reading so few tokens again costs less than sending each prompt and its
+	// answer across zones; and where little is shared, most of the prompt must be read at any
+	// engine.
+	maxZoneLocalTokens  = 300
+	maxZoneLocalPercent = 50
+	// awayCost is added for an engine other than the prompt's home, the one chosen by
+	// rendezvous hashing. All routers send the prompt to its home, and copies elsewhere are
+	// evicted sooner.
+	awayCost = 4 * time.Millisecond
+	// slotCost is added for each request running at a target: each one slows down the tokens
+	// of the others.
+	slotCost = 250 * time.Microsecond
+	// lateCost is added for a target at which a request is expected to miss its goal, so that
+	// such a target is chosen only if there is no other.
+	lateCost = time.Minute
 )
 
-// place is a target with room for a request.
-type place struct {
+// placement is a target that can take a request, with what the request would cost there.
+type placement struct {
 	*target
-	// read is the number of prompt tokens that the target would have to read,
-	// fetched the number that it would fetch from source instead.
-	read, fetched int
-	work          pace.Work
-	// first is when the first event is expected, after the request is sent, and
-	// safe when it has probably come.
+	// missTokens is the number of prompt tokens that the target would have to missTokens,
+	// fetchTokens the number that it would fetch from source instead.
+	missTokens, fetchTokens int
+	work                    pace.Work
+	// first is the expected time from sending the request to its first event. safe is a
+	// conservative estimate of the same.
 	first, safe time.Duration
-	// source is nil if no other engine keeps more of the prompt.
+	// source is the engine to fetch cached tokens from; nil if no other engine caches more of
+	// the prompt.
 	source *target
 }
 
-// choose returns the best target with room for t, or false. Shared parts are
-// read at another engine than the one that hashing gives them to only for
-// organisations that have not had their share: that costs as much as two
-// requests.
-func (s *State) choose(now time.Time, t *Ticket) (place, bool) {
+// choose returns the placement with the lowest cost for t; false if no target can take it. An
+// organisation over its share does not get shared prefixes read at an engine other than their
+// home: that costs as much as two requests.
+func (s *State) choose(now time.Time, t *Ticket) (placement, bool) {
 	candidates := s.usable(now, t)
 	if !t.Engine {
-		best := s.leastBusy(now, t, candidates)
-		return place{target: best}, best != nil
+		best := s.leastLoaded(now, t, candidates)
+		return placement{target: best}, best != nil
 	}
-	excess := s.excess(now, t.Organisation)
-	over := excess > shareTolerance && !t.Resumes
-	r := s.room(now, t, excess)
+	ratio := s.shareRatio(now, t.Organisation)
+	over := ratio > shareTolerance && !t.Resumes
+	r := s.room(now, t, ratio)
 	model := s.pace(t.Service)
 	own := ownTokens(t)
-	k := s.findKeepers(now, t, candidates)
-	var best place
+	k := s.locatePrefix(now, t, candidates)
+	var best placement
 	var lowest time.Duration
 	for i, c := range candidates {
-		p := k.placeAt(c, s.missing[i], own)
-		p.work = pace.Work{Ahead: s.ahead(now, c, model), Own: p.read}
+		p := k.placementAt(c, s.missing[i], own)
+		p.work = pace.Work{Ahead: s.pendingTokens(now, c, model), Own: p.missTokens}
 		p.first = model.Predict(p.work)
 		p.safe = p.first + time.Duration(model.Error()*float64(p.first))
-		away := c != k.home && p.read+p.fetched > own
-		if over && away || !s.fits(now, c, t) || !r.holds(p, model) {
+		away := c != k.home && p.missTokens+p.fetchTokens > own
+		if over && away || !s.fits(now, c, t) || !r.admits(p, model) {
 			continue
 		}
-		if price := s.price(now, p, c == k.home, r, model); best.target == nil || price < lowest {
-			best, lowest = p, price
+		if cost := s.cost(now, p, c == k.home, r, model); best.target == nil || cost < lowest {
+			best, lowest = p, cost
 		}
 	}
 	return best, best.target != nil
 }
 
-// price returns what sending a request to a place counts, as a time.
-func (s *State) price(now time.Time, p place, home bool, r room, m *pace.Model) time.Duration {
-	price := p.first + m.Reading(p.read*rereadPrice/100+p.fetched*fetchPrice/100)
-	price += time.Duration(s.loadOf(now, p.target).Running) * slotPrice
+// cost returns the cost of sending a request to a placement, as a time.
+func (s *State) cost(now time.Time, p placement, home bool, r room, m *pace.Model) time.Duration {
+	cost := p.first + m.Reading(p.missTokens*rereadPercent/100+p.fetchTokens*fetchPercent/100)
+	cost += time.Duration(s.loadOf(now, p.target).Running) * slotCost
 	if p.Zone != s.zone {
-		price += zonePrice
+		cost += otherZoneCost
 	}
 	if !home {
-		price += awayPrice
+		cost += awayCost
 	}
-	if p.safe > r.left {
-		price += latePrice
+	if p.safe > r.remaining {
+		cost += lateCost
 	}
-	return price
+	return cost
 }
 
-// keepers says which engines keep how much of a prompt.
-type keepers struct {
-	// home is the engine that hashing gives the prompt to, which all routers,
-	// or all of an availability zone, send it to if they can.
+// prefixLocations says which engines cache how much of a prompt.
+type prefixLocations struct {
+	// home is the engine that rendezvous hashing assigns the prompt to. All routers, or all of
+	// an availability zone, send the prompt there if they can.
 	home *target
-	// best is the one that keeps most of it, as far as this router knows, and
-	// missing the tokens that it does not keep.
+	// best is the engine known to cache most of the prompt, and missing the number of tokens
+	// that it does not cache.
 	best    *target
 	missing int
 }
 
-// findKeepers returns the keepers of a prompt and sets s.missing to the tokens
-// that each candidate does not keep, as far as this router knows.
-func (s *State) findKeepers(now time.Time, t *Ticket, candidates []*target) keepers {
-	k := keepers{home: s.home(t, candidates)}
+// locatePrefix returns where a prompt is known to be cached. It also sets s.missing to the
+// number of tokens that each candidate is not known to cache.
+func (s *State) locatePrefix(now time.Time, t *Ticket, candidates []*target) prefixLocations {
+	k := prefixLocations{home: s.home(t, candidates)}
 	s.missing = s.missing[:0]
 	for _, c := range candidates {
 		missing := c.cache.Missing(now, t.Parts, t.Input)
@@ -128,10 +128,10 @@
 	return k
 }
 
-// home returns the engine that hashing gives a prompt to.
+// home returns the engine that rendezvous hashing assigns a prompt to.
 func (s *State) home(t *Ticket, candidates []*target) *target {
-	if shared := t.Input - ownTokens(t); shared > nearShared && shared*100 > t.Input*nearPart {
-		return highest(candidates, t.affinity())
+	if shared := t.Input - ownTokens(t); shared > maxZoneLocalTokens && shared*100 > t.Input*maxZoneLocalPercent {
+		return rendezvousTarget(candidates, t.affinity())
 	}
 	s.near = s.near[:0]
 	for _, c := range candidates {
@@ -140,29 +140,30 @@
 		}
 	}
 	if len(s.near) == 0 {
-		return highest(candidates, t.affinity())
+		return rendezvousTarget(candidates, t.affinity())
 	}
-	return highest(s.near, t.affinity())
+	return rendezvousTarget(s.near, t.affinity())
 }
 
-// placeAt returns what a prompt with so many tokens of its own needs at an
-// engine that does not keep missing of its tokens, as far as this router
-// knows.
-func (k keepers) placeAt(c *target, missing, own int) place {
+// placementAt returns how many tokens of a prompt an engine would read and fetch. missing is
+// the number of tokens that it is not known to cache, own the size of the prompt's unshared
+// last part.
+func (k prefixLocations) placementAt(c *target, missing, own int) placement {
 	read := missing
 	if c == k.home {
 		read = min(read, own)
 	}
 	switch {
 	case k.missing < missing && (k.missing <= own || c == k.home):
-		return place{target: c, read: min(read, k.missing), fetched: read - min(read, k.missing), source: k.best}
+		return placement{target: c, missTokens: min(read, k.missing), fetchTokens: read - min(read, k.missing), source: k.best}
 	case c != k.home && own < read:
-		return place{target: c, read: own, fetched: read - own, source: k.home}
+		return placement{target: c, missTokens: own, fetchTokens: read - own, source: k.home}
 	}
-	return place{target: c, read: read}
+	return placement{target: c, missTokens: read}
 }
 
-// ownTokens returns the tokens of the prompt's last part.
+// ownTokens returns the number of tokens of the prompt's last part, which no other session
+// shares.
 func ownTokens(t *Ticket) int {
 	if n := len(t.Parts); n > 0 {
 		return t.Parts[n-1].Tokens
@@ -170,7 +171,7 @@
 	return t.Input
 }
 
-// fits reports whether an engine has a slot and memory for t.
+// fits reports whether an engine has a free slot and enough memory for t.
 func (s *State) fits(now time.Time, c *target, t *Ticket) bool {
 	l := s.loadOf(now, c)
 	if l.Running+spareSlots >= c.Slots {
@@ -183,16 +184,17 @@
 	if !ok || service.Engine == nil {
 		return true
 	}
-	return l.Memory+t.private() <= service.Engine.CacheTokens*memoryShare/100
+	return l.Memory+t.unsharedTokens() <= service.Engine.CacheTokens*memoryPercent/100
 }
 
-// usable returns the targets of t's service that may be sent to: none that
-// leaves, rests or was tried before, no cold one that had its part, and none that is
-// suspected of failing unless all are. The list is valid until the next call.
+// usable returns the targets of t's service that it may be sent to. Targets that are leaving,
+// back off or were tried before are excluded, and so are cold ones that got this router's part
+// of what they bear. Suspected targets are returned only if there are no others. The list is
+// valid until the next call.
 func (s *State) usable(now time.Time, t *Ticket) []*target {
 	good, suspect := s.good[:0], s.suspect[:0]
 	for _, c := range s.services[t.Service] {
-		if c.Closed(now) || c.unrested(now) || slices.Contains(t.Tried, c.name) || s.held(now, c) {
+		if c.Closed(now) || c.backingOffOrProbed(now) || slices.Contains(t.Tried, c.incarnation) || s.coldLimited(now, c) {
 			continue
 		}
 		if c.suspected(now) {
@@ -208,15 +210,16 @@
 	return good
 }
 
-// leastBusy returns the target of a plain service with the smallest part of
-// its slots taken, nearest first.
-func (s *State) leastBusy(now time.Time, t *Ticket, candidates []*target) *target {
+// leastLoaded returns the target of a plain service with the fewest running requests. Among
+// equals it prefers this router's availability zone, and within it the target that hashing
+// assigns to the request.
+func (s *State) leastLoaded(now time.Time, t *Ticket, candidates []*target) *target {
 	var best *target
 	var bestScore float64
-	home := highest(candidates, t.ID)
+	home := rendezvousTarget(candidates, t.ID)
 	for _, c := range candidates {
 		running := s.loadOf(now, c).Running
-		if running >= c.most(t.Goal) {
+		if running >= c.maxRunning(t.Goal) {
 			continue
 		}
 		score := float64(running)
@@ -233,19 +236,20 @@
 	return best
 }
 
-// most returns how many requests to a plain service's target may be under way: those that
-// end within a part of their goal, its slots and half as many at least.
-func (t *target) most(goal time.Duration) int {
-	least := t.Slots + t.Slots*queueShare/100
-	if t.takes <= 0 {
-		return least
+// maxRunning returns how many requests a target of a plain service may have running: as many
+// as can end within timelyPercent of the goal, up to maxQueueFactor times its slots, but at
+// least its slots plus extraSlotsPercent.
+func (t *target) maxRunning(goal time.Duration) int {
+	atLeast := t.Slots + t.Slots*extraSlotsPercent/100
+	if t.serviceTime <= 0 {
+		return atLeast
 	}
-	timely := int(float64(t.Slots) * float64(goal) * timelyShare / 100 / float64(t.takes))
-	return max(min(timely, t.Slots*queueMost), least)
+	timely := int(float64(t.Slots) * float64(goal) * timelyPercent / 100 / float64(t.serviceTime))
+	return max(min(timely, t.Slots*maxQueueFactor), atLeast)
 }
 
-// highest returns the target that rendezvous hashing gives to key.
-func highest(targets []*target, key string) *target {
+// rendezvousTarget returns the target that rendezvous hashing assigns to key.
+func rendezvousTarget(targets []*target, key string) *target {
 	var best *target
 	var bestWeight uint64
 	hash := rendezvous.Hash(key)
--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -6,15 +6,16 @@
 	"github.com/stepcroft/stepcroft/internal/coldstart"
 )
 
-// OnCold sets what says how many requests this router may send to a cold target in a second;
-// nil for none.
+// OnCold sets the function that returns how many requests this router may send to a cold
+// target in a second; nil allows none.
 func (s *State) OnCold(part func(now time.Time, target string, r coldstart.Rate) int) {
-	s.coldPart = part
+	s.coldAllowance = part
 }
 
-// held reports whether a target is cold and has had this router's part of what it bears. One
-// that gets more falls over, with all that runs there.
-func (s *State) held(now time.Time, t *target) bool {
+// coldLimited reports whether a target is cold and has already got this router's part of the
+// requests that it bears. A cold target that gets more crashes, and all requests running there
+// are lost.
+func (s *State) coldLimited(now time.Time, t *target) bool {
 	if !now.Before(t.coldUntil) {
 		return false
 	}
@@ -23,18 +24,18 @@
 		return false
 	}
 	part := 0
-	if s.coldPart != nil {
-		part = s.coldPart(now, t.ID, rate)
+	if s.coldAllowance != nil {
+		part = s.coldAllowance(now, t.ID, rate)
 	}
 	if t.recent.Count(now) < part {
 		return false
 	}
-	s.heldCold++
+	s.coldSkips++
 	return true
 }
 
-// coldRate returns what a cold target of a service bears, and for how long it is cold after
-// its start.
+// coldRate returns the rate of requests that a cold target of a service bears, and how long a
+// target stays cold after its start.
 func (s *State) coldRate(service string) (coldstart.Rate, time.Duration) {
 	if s.table == nil {
 		return coldstart.Rate{}, 0
@@ -46,10 +47,10 @@
 	return coldstart.Rate{PerSecond: d.ColdRate, Most: d.ColdRate*max(s.limits.ColdOver, 1) + max(s.limits.ColdSlack, 0)}, d.ColdTime
 }
 
-// cooled notes until when a target may be cold: as long as its entry says, and where its
-// zone was drained and is given back, as after a start: it may have turned cold meanwhile, and
-// its entry says so up to a heartbeat late.
-func (s *State) cooled(now time.Time, t *target, before Target) {
+// extendCold updates until when a target is cold. This is as long as its entry says; a target
+// whose zone is no longer drained also counts as just started, since it may have turned cold
+// meanwhile and its entry shows this up to a heartbeat late.
+func (s *State) extendCold(now time.Time, t *target, before Target) {
 	if t.ColdUntil.After(t.coldUntil) {
 		t.coldUntil = t.ColdUntil
 	}
@@ -61,8 +62,8 @@
 	}
 }
 
-// Cold returns the number of cold targets by service, and how often a target was passed over
-// since the start because it was cold.
+// Cold returns the number of cold targets by service, and how often a target was skipped since
+// the start because it was cold.
 func (s *State) Cold(now time.Time) (map[string]int, int64) {
 	cold := map[string]int{}
 	for _, t := range s.targets {
@@ -70,5 +71,5 @@
 			cold[t.Service]++
 		}
 	}
-	return cold, s.heldCold
+	return cold, s.coldSkips
 }
--- a/internal/balance/gate_test.go
+++ b/internal/balance/gate_test.go
@@ -10,10 +10,10 @@
 	"github.com/stepcroft/stepcroft/internal/throttle"
 )
 
-// flood plays an organisation that sends perTick requests a tick to a router
-// for a while, and returns how many of them were read a tick at the end. An
-// engine ends every one that it gets within a tick, but takes few at a time; each
-// request that is read costs a part of the processor's time for a tick.
+// flood simulates an organisation that sends perTick requests a tick to a router, and returns
+// how many of them were admitted per tick in the second half. The engine completes all its
+// requests within a tick but has few slots; each admitted request takes the fraction cost of
+// the processor time of a tick.
 func flood(t *testing.T, perTick, slots, ticks int, cost float64) float64 {
 	t.Helper()
 	now := time.Unix(1000, 0)
@@ -41,10 +41,10 @@
 			s.Arrive(now, k)
 			running = append(running, k)
 		}
-		now = now.Add(tickTime)
+		now = now.Add(tickInterval)
 		var begun []*Ticket
 		for _, k := range running {
-			if k.at != nil {
+			if k.target != nil {
 				begun = append(begun, k)
 			}
 		}
@@ -52,8 +52,8 @@
 			s.Ended(now, k, Answered)
 		}
 		s.Tick(now)
-		if tick%busyTicks == 0 {
-			s.SetBusy(now, float64(lately)/busyTicks*cost, 0.2)
+		if tick%meterTicks == 0 {
+			s.SetBusy(now, float64(lately)/meterTicks*cost, 0.2)
 			lately = 0
 		}
 		gates = s.gatesAt(now)
@@ -70,16 +70,16 @@
 		cost           float64
 		least, most    float64
 	}{
-		"few are all read":                    {perTick: 2, slots: 4, least: 2, most: 2},
-		"more than engines take":              {perTick: 40, slots: 2, least: 2, most: 8},
-		"many more than engines take":         {perTick: 400, slots: 2, least: 2, most: 8},
-		"more than the processor does":        {perTick: 40, slots: 500, cost: 0.1, least: 6, most: 9},
-		"as many as the processor does":       {perTick: 7, slots: 500, cost: 0.1, least: 7, most: 7},
+		"few are all admitted":                {perTick: 2, slots: 4, least: 2, most: 2},
+		"more than engines serve":             {perTick: 40, slots: 2, least: 2, most: 8},
+		"many more than engines serve":        {perTick: 400, slots: 2, least: 2, most: 8},
+		"more than the processor can handle":  {perTick: 40, slots: 500, cost: 0.1, least: 6, most: 9},
+		"as many as the processor can handle": {perTick: 7, slots: 500, cost: 0.1, least: 7, most: 7},
 		"more than the processor and engines": {perTick: 400, slots: 2, cost: 0.1, least: 2, most: 8},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := flood(t, c.perTick, c.slots, 400, c.cost); got < c.least || got > c.most {
-				t.Errorf("%g requests read a tick, want %g to %g", got, c.least, c.most)
+				t.Errorf("%g requests admitted per tick, want %g to %g", got, c.least, c.most)
 			}
 		})
 	}
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -5,47 +5,46 @@
 )
 
 const (
-	// failWeight is the weight of the newest result in the running average of
-	// failures; suspectFrom is the average from which a target is avoided.
-	// Two failures in a row, or about half of all, get there.
-	failWeight  = 0.3
-	suspectFrom = 0.45
-	// firstPause is for how long a suspect is avoided; each time that it
-	// fails again the pause doubles, up to lastPause.
-	firstPause = 500 * time.Millisecond
-	lastPause  = 4 * time.Second
-	// silence is for how long a target may show no progress while a request
-	// waits at it before it is avoided: longer than the unread tokens that it
-	// may hold take to read.
-	silence = 900 * time.Millisecond
+	// failureWeight is the weight of the newest result in the moving average of failures; a
+	// target is suspected from an average of suspectThreshold. Two failures in a row, or about
+	// half of all, reach it.
+	failureWeight    = 0.3
+	suspectThreshold = 0.45
+	// minSuspectDuration is how long a target is avoided at first. Each further failure
+	// doubles the time, up to maxSuspectDuration.
+	minSuspectDuration = 500 * time.Millisecond
+	maxSuspectDuration = 4 * time.Second
+	// maxSilence is how long a target may make no progress while a request waits at it, before
+	// it is suspected. It is longer than the target takes to read its allowed backlog.
+	maxSilence = 900 * time.Millisecond
 )
 
-// health is what results say of a target.
+// health is derived from the results of the requests sent to a target.
 type health struct {
-	failures float64
-	pause    time.Duration
-	until    time.Time
-	// progress is when the target last began to answer or ended a request.
-	progress time.Time
+	failureRate     float64
+	suspectDuration time.Duration
+	suspectedUntil  time.Time
+	// lastProgress is when the target last started to answer or ended a request.
+	lastProgress time.Time
 }
 
-func (h *health) suspected(now time.Time) bool { return now.Before(h.until) }
+func (h *health) suspected(now time.Time) bool { return now.Before(h.suspectedUntil) }
 
-// note takes a result into account.
-func (h *health) note(now time.Time, how Result) {
+// record updates the health with the result of a request.
+func (h *health) record(now time.Time, how Result) {
 	switch how {
 	case Answered:
-		h.failures *= 1 - failWeight
-		h.progress = now
-		if h.failures < suspectFrom/2 {
-			h.pause = 0
+		h.failureRate *= 1 - failureWeight
+		h.lastProgress = now
+		if h.failureRate < suspectThreshold/2 {
+			h.suspectDuration = 0
 		}
 	case Unreachable:
-		h.failures = max(h.failures, suspectFrom)
+		h.failureRate = max(h.failureRate, suspectThreshold)
 		h.suspect(now)
 	case Failed:
-		h.failures += failWeight * (1 - h.failures)
-		if h.failures >= suspectFrom {
+		h.failureRate += failureWeight * (1 - h.failureRate)
+		if h.failureRate >= suspectThreshold {
 			h.suspect(now)
 		}
 	case Refused, Left:
@@ -56,21 +55,21 @@
 	if h.suspected(now) {
 		return
 	}
-	h.pause = min(max(2*h.pause, firstPause), lastPause)
-	h.until = now.Add(h.pause)
+	h.suspectDuration = min(max(2*h.suspectDuration, minSuspectDuration), maxSuspectDuration)
+	h.suspectedUntil = now.Add(h.suspectDuration)
 }
 
-// watch suspects a target that has shown no sign for a while although a
-// request waits at it.
-func (t *target) watch(now time.Time) {
+// checkSilence suspects a target that has made no progress for maxSilence although a request
+// waits at it.
+func (t *target) checkSilence(now time.Time) {
 	if len(t.waiting) == 0 {
 		return
 	}
-	since := t.waiting[0].sent
-	if t.progress.After(since) {
-		since = t.progress
+	since := t.waiting[0].sentAt
+	if t.lastProgress.After(since) {
+		since = t.lastProgress
 	}
-	if now.Sub(since) > silence {
+	if now.Sub(since) > maxSilence {
 		t.suspect(now)
 	}
 }
--- a/internal/balance/incarnation.go
+++ b/internal/balance/incarnation.go
@@ -10,10 +10,10 @@
 	"github.com/stepcroft/stepcroft/internal/rendezvous"
 )
 
-// Incarnation names the target's process, by which routers tell one another of it: one
-// that starts again under its id holds and knows nothing of before, and what is
-// believed of two incarnations is never added up. A target that does not say when it
-// started has its id.
+// Incarnation returns the name of the target's process, which routers use to refer to it. A
+// process that restarts under the same id has lost all running requests and caches, so the
+// state of two incarnations is never added up. The name is the plain id if the start time is
+// unknown.
 func (t Target) Incarnation() string {
 	if t.Born == 0 {
 		return t.ID
@@ -21,18 +21,18 @@
 	return t.ID + string(incarnationMark) + strconv.FormatInt(t.Born, 10)
 }
 
-// incarnationMark stands between a target's id and when it started.
+// incarnationMark separates the target's id from the start time of its process.
 const incarnationMark = '@'
 
-// newTarget returns a target of which nothing is known yet.
+// newTarget returns a target without any state.
 func newTarget(t Target) *target {
 	return &target{
-		hash: rendezvous.Hash(t.ID), name: t.Incarnation(), cache: prefix.NewCache(), running: map[*Ticket]struct{}{},
+		hash: rendezvous.Hash(t.ID), incarnation: t.Incarnation(), cache: prefix.NewCache(), running: map[*Ticket]struct{}{},
 	}
 }
 
-// restarted ends what runs at an incarnation of a target that is over.
-func (t *target) restarted() {
+// abortRunning reports to all requests running at an incarnation that it has ended.
+func (t *target) abortRunning() {
 	for k := range t.running {
 		if lost := k.lost.Load(); lost != nil {
 			(*lost)()
@@ -40,9 +40,8 @@
 	}
 }
 
-// OnLost sets what is called where the process to which the request was sent turns
-// out to have ended and started again; nil for nothing. The request's own goroutine
-// sets it for each send.
+// OnLost sets the function to call if the process that the request was sent to turns out to
+// have restarted; nil for none. The request's own goroutine sets it for each send.
 func (t *Ticket) OnLost(f func()) {
 	if f == nil {
 		t.lost.Store(nil)
@@ -51,9 +50,9 @@
 	t.lost.Store(&f)
 }
 
-// SetTargets replaces the list of targets. Requests that run at a target that is
-// not in it go on there; no more are sent. Those at a target that has started again
-// have ended.
+// SetTargets replaces the list of targets. Targets that are no longer listed get no new
+// requests, but those running there go on. Requests running at a target that has restarted are
+// aborted.
 func (s *State) SetTargets(now time.Time, list []Target) {
 	known := make(map[string]*target, len(list))
 	services := map[string][]*target{}
@@ -64,15 +63,15 @@
 			before = old.Target
 		}
 		if old != nil && old.Born != t.Born {
-			old.restarted()
+			old.abortRunning()
 			old = nil
 		}
 		if old == nil {
 			old = newTarget(t)
-			old.said = s.advice.Find(old.name)
+			old.reported = s.advice.Find(old.incarnation)
 		}
 		old.Target = t
-		s.cooled(now, old, before)
+		s.extendCold(now, old, before)
 		known[t.ID] = old
 		services[t.Service] = append(services[t.Service], old)
 	}
@@ -81,18 +80,17 @@
 	}
 	s.targets = known
 	s.services = services
-	s.advice.Prune(now, func(name string) bool { return s.alive(name) != nil })
+	s.advice.Prune(now, func(name string) bool { return s.findIncarnation(name) != nil })
 	s.dispatch(now)
 }
 
-// alive returns the target whose incarnation has a name, nil if it is over or not
-// known.
-func (s *State) alive(name string) *target {
+// findIncarnation returns the listed target with this incarnation name, or nil.
+func (s *State) findIncarnation(name string) *target {
 	t := s.targets[name]
 	if at := strings.LastIndexByte(name, incarnationMark); t == nil && at >= 0 {
 		t = s.targets[name[:at]]
 	}
-	if t == nil || t.name != name {
+	if t == nil || t.incarnation != name {
 		return nil
 	}
 	return t
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -13,7 +13,7 @@
 	"github.com/stepcroft/stepcroft/internal/view"
 )
 
-// newRouter returns the state of a router before engines of service "llm".
+// newRouter returns the state of a router with service "llm" and no engines yet.
 func newRouter(t interface{ Fatal(...any) }, now time.Time) *State {
 	s := New(now, "z", Limits{RetryWindow: time.Second, QuotaWindow: time.Second}, rand.New(rand.NewPCG(1, 1)))
 	table, err := routing.New(routing.Spec{Services: []routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 64, CacheTokens: 1_000_000}}}})
@@ -29,7 +29,7 @@
 	return Target{ID: id, Service: "llm", Zone: "z", Slots: 64, Born: born}
 }
 
-// question returns a request to engines for a prompt with a shared part.
+// newTicket returns a request to engines for a prompt with a shared prefix.
 func question(id string, now time.Time) *Ticket {
 	return &Ticket{
 		ID: id, Service: "llm", Organisation: "o", Engine: true, Stream: true, Input: 1000, Output: 10,
@@ -46,28 +46,28 @@
 	lost := 0
 	k.OnLost(func() { lost++ })
 	s.Arrive(now, k)
-	old := s.alive("e@1")
-	old.note(now, Unreachable)
+	old := s.findIncarnation("e@1")
+	old.record(now, Unreachable)
 	s.Heard(now, "r", view.Report{Loads: map[string]view.Load{"e@1": {Running: 7}}, Kept: map[string][]string{"e@1": {"other"}}})
 	if got := s.loadOf(now, old); got.Running != 8 || !old.suspected(now) {
-		t.Fatalf("load %+v before, suspected %v", got, old.suspected(now))
+		t.Fatalf("load %+v before the restart, suspected %v", got, old.suspected(now))
 	}
 
 	s.SetTargets(now, []Target{engine("e", 2)})
-	fresh := s.alive("e@2")
-	if fresh == nil || s.alive("e@1") != nil || lost != 1 {
-		t.Fatalf("%v and %v alive, %d told that theirs is over", s.alive("e@1"), fresh, lost)
+	fresh := s.findIncarnation("e@2")
+	if fresh == nil || s.findIncarnation("e@1") != nil || lost != 1 {
+		t.Fatalf("old incarnation %v, new one %v, %d requests aborted, want 1", s.findIncarnation("e@1"), fresh, lost)
 	}
 	s.Heard(now, "late", view.Report{Loads: map[string]view.Load{"e@1": {Running: 5}}, Kept: map[string][]string{"e@1": {"shared"}}})
 	s.Ended(now, k, Failed)
-	if got := s.loadOf(now, fresh); got != (view.Load{}) || fresh.suspected(now) || fresh.failures > 0 {
-		t.Errorf("load %+v of a new life, suspected %v", got, fresh.suspected(now))
+	if got := s.loadOf(now, fresh); got != (view.Load{}) || fresh.suspected(now) || fresh.failureRate > 0 {
+		t.Errorf("load %+v of a new incarnation, suspected %v", got, fresh.suspected(now))
 	}
 	if got := fresh.cache.Missing(now, k.Parts, k.Input); got != k.Input {
-		t.Errorf("%d of %d tokens missing at a new life", got, k.Input)
+		t.Errorf("%d of %d tokens missing at a new incarnation", got, k.Input)
 	}
 	if r := s.Report(now); len(r.Loads) > 0 {
-		t.Errorf("loads %v told of", r.Loads)
+		t.Errorf("loads %v reported, want none", r.Loads)
 	}
 }
 
@@ -76,25 +76,25 @@
 	s := newRouter(t, now)
 	s.SetTargets(now, []Target{engine("e", 1)})
 	k := question("q", now)
-	k.OnLost(func() { t.Error("the request was told that its target is gone") })
+	k.OnLost(func() { t.Error("the request was aborted though its target runs on") })
 	s.Arrive(now, k)
 	leaving := engine("e", 1)
 	leaving.Leaving = true
 	s.SetTargets(now, []Target{leaving})
-	if got := s.loadOf(now, s.alive("e@1")); got.Running != 1 {
-		t.Errorf("%+v, want the request to run on", got)
+	if got := s.loadOf(now, s.findIncarnation("e@1")); got.Running != 1 {
+		t.Errorf("load %+v, want one running request", got)
 	}
 	k.OnLost(nil)
 	s.SetTargets(now, []Target{engine("e", 2)})
-	if s.alive("e@2").Closed(now) {
-		t.Error("a drain went on in a new life")
+	if s.findIncarnation("e@2").Closed(now) {
+		t.Error("a new incarnation is still leaving")
 	}
 }
 
-// TestSumsOfIncarnations plays two routers that hear of engines' new incarnations at
-// different times and tell one another of their loads, late and out of order. What a
-// router takes for the load on an incarnation is its own and what it was last told of
-// that one.
+// TestSumsOfIncarnations simulates two routers that learn of new incarnations of engines at
+// different times, and whose reports to each other arrive late and out of order. The load that
+// a router computes for an incarnation must be its own plus the one last received for the same
+// incarnation.
 func TestSumsOfIncarnations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -163,10 +163,10 @@
 						own[life]++
 					}
 					for _, target := range s.targets {
-						name := target.name
+						name := target.incarnation
 						want := own[name] + heard[i][name].Running
 						if got := s.loadOf(now, target).Running; got != want {
-							t.Fatalf("router %d takes %d requests to run at %s, want %d", i, got, name, want)
+							t.Fatalf("router %d counts %d running requests at %s, want %d", i, got, name, want)
 						}
 					}
 				}
@@ -175,9 +175,8 @@
 	})
 }
 
-// BenchmarkSetTargets measures taking over a list of 6,600 targets in which one
-// changes: 0.72 ms before incarnations were told apart, 0.75 ms since, means of three
-// runs.
+// BenchmarkSetTargets measures replacing a list of 6,600 targets of which one changes: 0.72 ms
+// before incarnations were distinguished, 0.75 ms since, means of three runs.
 func BenchmarkSetTargets(b *testing.B) {
 	now := time.Unix(1000, 0)
 	s := newRouter(b, now)
--- a/internal/balance/leaving_test.go
+++ b/internal/balance/leaving_test.go
@@ -8,8 +8,8 @@
 	"github.com/stepcroft/stepcroft/internal/balance"
 )
 
-// Requests waited for targets that all leave, by their entries or by what they said, though
-// it was known that none could take them.
+// Guards against requests that wait although all targets are known to be leaving, from their
+// entries or from what they reported themselves.
 func TestRequestsWaitForTargetsThatLeave(t *testing.T) {
 	gomega.RegisterTestingT(t)
 	cases := map[string]func(w *world){
@@ -20,7 +20,7 @@
 			}
 			w.SetTargets(w.now, list)
 		},
-		"by what they said": func(w *world) {
+		"by what they reported": func(w *world) {
 			for range 2 {
 				k := w.plain()
 				if d := w.arrive(k); d == nil || d.Refused != "" {
@@ -35,7 +35,7 @@
 			w := newWorld(2)
 			leave(w)
 			if d := w.arrive(w.plain()); d == nil || d.Refused != balance.NoTarget || d.RetryAfter <= 0 {
-				t.Errorf("decision %+v, want a refusal at once", d)
+				t.Errorf("decision %+v, want an immediate refusal", d)
 			}
 		})
 	}
--- a/internal/balance/loop.go
+++ b/internal/balance/loop.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// eventsMost is the number of events that may wait for the control thread.
-	eventsMost = 1024
-	// tickTime is the period of Tick: what waits is refused this much late at
-	// most.
-	tickTime = 20 * time.Millisecond
-	// busyTicks is the number of ticks between looks at the processor, lateTicks the
-	// number of ticks that they take where the processor is busy.
-	busyTicks = 5
-	lateTicks = 8
+	// eventBuffer is the number of events that may be queued for the control goroutine.
+	eventBuffer = 1024
+	// tickInterval is the interval of Tick, and thus the most by which requests that waited
+	// long enough are refused late.
+	tickInterval = 20 * time.Millisecond
+	// meterTicks is the number of ticks between two measurements of processor use. If these
+	// ticks take longer than lateTicks tick intervals, the process itself waits for the
+	// processor.
+	meterTicks = 5
+	lateTicks  = 8
 )
 
-// Event is something that changes the state.
+// Event changes the state.
 type Event func(s *State, now time.Time)
 
 // Loop drives a State from one goroutine. Use NewLoop to make one.
@@ -30,73 +31,73 @@
 	state  *State
 	events chan Event
 	gates  atomic.Pointer[map[string]*throttle.Gate]
-	// busy and coalesce have the bits of the state's figures.
+	// busy and coalesce hold the bits of the state's float64 values, for other goroutines.
 	busy, coalesce atomic.Uint64
 	meter          meter
-	awake          func(s *State, now time.Time, missed time.Duration)
+	onResume       func(s *State, now time.Time, missed time.Duration)
 }
 
-// meter looks at which part of the processor the router uses.
+// meter measures the fraction of its cores that the router uses.
 type meter struct {
-	// used returns the processor time used since the start; nil if nobody can
-	// tell. cores is the number of cores that the router may use.
-	used  func() time.Duration
-	cores float64
-	ticks int
-	at    time.Time
-	last  time.Duration
+	// used returns the processor time used since the start; nil if that is unknown. cores is
+	// the number of cores that the router may use.
+	used     func() time.Duration
+	cores    float64
+	ticks    int
+	lastAt   time.Time
+	lastUsed time.Duration
 }
 
-// look tells the state once in busyTicks. Where ticks come late the process waits
-// for the processor, whatever it was charged for.
-func (m *meter) look(now time.Time, s *State) {
+// measure updates the state's processor use once in meterTicks. Late ticks count as full use:
+// the process had to wait for the processor, however little time it was charged for.
+func (m *meter) measure(now time.Time, s *State) {
 	m.ticks++
-	if m.used == nil || m.cores <= 0 || m.ticks%busyTicks != 0 {
+	if m.used == nil || m.cores <= 0 || m.ticks%meterTicks != 0 {
 		return
 	}
 	used := m.used()
-	passed := now.Sub(m.at)
+	passed := now.Sub(m.lastAt)
 	switch {
-	case m.at.IsZero() || passed <= 0:
-	case passed > lateTicks*tickTime:
+	case m.lastAt.IsZero() || passed <= 0:
+	case passed > lateTicks*tickInterval:
 		s.SetBusy(now, 1, m.cores)
 	default:
-		s.SetBusy(now, (used-m.last).Seconds()/(passed.Seconds()*m.cores), m.cores)
+		s.SetBusy(now, (used-m.lastUsed).Seconds()/(passed.Seconds()*m.cores), m.cores)
 	}
-	m.at, m.last = now, used
+	m.lastAt, m.lastUsed = now, used
 }
 
-// Meter makes the loop watch how much of a number of cores the router uses; used
-// returns the processor time used since the start. Call it before Run.
+// Meter makes the loop measure how much of a number of cores the router uses; used returns the
+// processor time used since the start. It must be called before Run.
 func (l *Loop) Meter(used func() time.Duration, cores float64) {
 	l.meter.used, l.meter.cores = used, cores
 }
 
-// OnAwake makes f be called, like an event, when the box turns out to have been suspended
-// for a time. Call it before Run.
-func (l *Loop) OnAwake(f func(s *State, now time.Time, missed time.Duration)) { l.awake = f }
+// OnAwake sets a function that is called, like an event, when the box resumes after it was
+// suspended; missed is the time for which it was. It must be called before Run.
+func (l *Loop) OnAwake(f func(s *State, now time.Time, missed time.Duration)) { l.onResume = f }
 
-// look looks whether the box was suspended, before anything is decided by the time.
-func (l *Loop) look() {
+// checkSuspended detects that the box was suspended, before any decision is based on the time.
+func (l *Loop) checkSuspended() {
 	missed := clock.Check()
 	if missed == 0 {
 		return
 	}
-	// That no time of the processor was used meanwhile says nothing of how busy it is.
-	l.meter.at = time.Time{}
-	if l.awake != nil {
-		l.awake(l.state, clock.Now(), missed)
+	// The processor time used while the box was suspended says nothing about how busy it is.
+	l.meter.lastAt = time.Time{}
+	if l.onResume != nil {
+		l.onResume(l.state, clock.Now(), missed)
 	}
 }
 
-// NewLoop returns a loop that Run must drive.
+// NewLoop returns a loop, to be driven by Run.
 func NewLoop(s *State) *Loop {
-	return &Loop{state: s, events: make(chan Event, eventsMost)}
+	return &Loop{state: s, events: make(chan Event, eventBuffer)}
 }
 
 // Run applies events until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
-	ticker := time.NewTicker(tickTime)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -105,10 +106,10 @@
 		case e := <-l.events:
 			e(l.state, clock.Now())
 		case <-ticker.C:
-			l.look()
+			l.checkSuspended()
 			now := clock.Now()
 			l.state.Tick(now)
-			l.meter.look(now, l.state)
+			l.meter.measure(now, l.state)
 			l.busy.Store(math.Float64bits(l.state.throttle.Busy()))
 			l.coalesce.Store(math.Float64bits(l.state.throttle.Coalesce()))
 			l.publish(l.state.gatesAt(now))
@@ -116,7 +117,7 @@
 	}
 }
 
-// publish tells other goroutines the gates.
+// publish makes the gates available to other goroutines.
 func (l *Loop) publish(gates map[string]*throttle.Gate) {
 	if gates == nil {
 		l.gates.Store(nil)
@@ -125,15 +126,15 @@
 	l.gates.Store(&gates)
 }
 
-// Busy returns the part of its cores that the router used last.
+// Busy returns the fraction of its cores that the router used in the last measurement.
 func (l *Loop) Busy() float64 { return math.Float64frombits(l.busy.Load()) }
 
-// Coalesce returns how much streams should let events come together to save the
-// processor's time, from 0 (none) to 1 (as long as callers accept).
+// Coalesce returns how much streams should coalesce events to save processor time, from 0 (not
+// at all) to 1 (as long as callers accept).
 func (l *Loop) Coalesce() float64 { return math.Float64frombits(l.coalesce.Load()) }
 
-// Throttles reports whether requests of any organisation are refused unread. Any goroutine may
-// call it.
+// Throttles reports whether the requests of any organisation are shed. Any goroutine may call
+// it.
 func (l *Loop) Throttles() bool { return l.gates.Load() != nil }
 
 func (l *Loop) gate(organisation string) *throttle.Gate {
@@ -144,8 +145,8 @@
 	return (*gates)[organisation]
 }
 
-// Crowded returns why another request of an organisation to engines is to be
-// refused unread, or "" if it is to be read. Any goroutine may call it.
+// Crowded returns why another request of an organisation to engines is to be shed before it is
+// parsed, or "" if it is not. Any goroutine may call it.
 func (l *Loop) Crowded(organisation string, o throttle.Offer) Reason {
 	if g := l.gate(organisation); g != nil {
 		return Reason(g.Crowds(o))
@@ -153,8 +154,8 @@
 	return ""
 }
 
-// Admit lets a request of an organisation to engines in, or returns why it is to be
-// refused. Any goroutine may call it, once a request.
+// Admit returns "" if it admits a request of an organisation to engines, or why the request is
+// to be refused. It must be called once a request; any goroutine may call it.
 func (l *Loop) Admit(organisation string, o throttle.Offer) Reason {
 	if g := l.gate(organisation); g != nil {
 		return Reason(g.Admit(o))
@@ -162,11 +163,11 @@
 	return ""
 }
 
-// Post hands an event over, to be applied soon and in order.
+// Post queues an event, to be applied soon and in order.
 func (l *Loop) Post(e Event) { l.events <- e }
 
-// Ask applies an event and waits until it has been; it returns false if ctx
-// ended before.
+// Ask queues an event and waits until it has been applied; it returns false if ctx ended
+// before that.
 func (l *Loop) Ask(ctx context.Context, e Event) bool {
 	done := make(chan struct{})
 	l.Post(func(s *State, now time.Time) {
--- a/internal/balance/peers.go
+++ b/internal/balance/peers.go
@@ -8,111 +8,111 @@
 )
 
 const (
-	// notifyTokens is the number of tokens to read from which a request is told
-	// to the other routers at once. Such a request keeps an engine reading for
-	// tens of milliseconds, and what the others send there until the next report
-	// waits behind it unawares: told at once, the 95th percentile of the time to
-	// the first event beyond what the known unread tokens explain falls from 139
-	// to 52 ms on a calm day of 8 routers, and from 225 to 86 ms on a day of high
-	// load.
-	notifyTokens = 1000
-	// notifyRate is the number of such messages a second that a router should hear
-	// at most, over all that serve callers: at some 20 microseconds each half a
-	// percent of a core. Where there are more, only the longest prompts are told of.
-	notifyRate = 250
-	// notifyMost is the number of tokens from which a request is told of where the
-	// router's part of that rate is used up.
-	notifyMost = 40_000
+	// notifyThreshold is the number of tokens to read from which a request is announced to the
+	// other routers at once, rather than with the next report. Such a request keeps an engine
+	// reading for tens of milliseconds, and requests that other routers send there meanwhile
+	// wait behind it. Announcing it cut the 95th percentile of the time to the first event,
+	// beyond what the known pending tokens explain, from 139 to 52 ms under normal and from
+	// 225 to 86 ms under high load (8 routers).
+	notifyThreshold = 1000
+	// maxNotifyRate is the number of such messages a second that a router should receive, from
+	// all routers that serve callers. At about 20 microseconds each they take half a percent
+	// of a core. Beyond, only the longest prompts are announced.
+	maxNotifyRate = 250
+	// maxNotifyThreshold is the number of tokens from which a request is still announced once
+	// the router's part of that rate is used up.
+	maxNotifyThreshold = 40_000
 )
 
-// notices says of how many requests the others may be told.
-type notices struct {
-	// left is the router's part of what was not used in the last second, from 0
-	// to 1.
-	left float64
-	at   time.Time
+// notifyLimiter limits the rate of announcements: the threshold rises from notifyThreshold to
+// maxNotifyThreshold as the router's allowance is used up.
+type notifyLimiter struct {
+	// remaining is the unused part of the router's allowance, from 0 to 1. It refills within a
+	// second.
+	remaining float64
+	updated   time.Time
 }
 
-// take reports whether others should be told of a request that makes a target
-// read so many tokens, and counts it; routers is how many tell one another.
-func (n *notices) take(now time.Time, tokens, routers int) bool {
-	n.left = min(n.left+now.Sub(n.at).Seconds(), 1)
-	n.at = now
-	if float64(tokens) < notifyTokens*math.Pow(notifyMost/notifyTokens, 1-n.left) {
+// allow reports whether a request that makes a target read so many tokens is to be announced,
+// and counts it if so. routers is the number of routers that announce requests to each other.
+func (n *notifyLimiter) allow(now time.Time, tokens, routers int) bool {
+	n.remaining = min(n.remaining+now.Sub(n.updated).Seconds(), 1)
+	n.updated = now
+	if float64(tokens) < notifyThreshold*math.Pow(maxNotifyThreshold/notifyThreshold, 1-n.remaining) {
 		return false
 	}
-	n.left = max(n.left-float64(routers)/notifyRate, 0)
+	n.remaining = max(n.remaining-float64(routers)/maxNotifyRate, 0)
 	return true
 }
 
-// Notify makes f be called with what own requests put on a target and what the last
-// one added, at once when that is much.
+// Notify sets a function that is called at once when a long prompt is sent. It gets the
+// target, this router's load on it and the load that the request added.
 func (s *State) Notify(f func(target string, now, added view.Load)) { s.notify = f }
 
-// SetOthers says how many other routers are believed to be running, and how many of
-// these serve callers.
-func (s *State) SetOthers(running, serving int) { s.running, s.serving = running, serving }
+// SetOthers sets how many other routers are believed to be running, and how many of those
+// serve callers.
+func (s *State) SetOthers(running, serving int) { s.runningPeers, s.servingPeers = running, serving }
 
 // routers returns the number of routers in the fleet.
-func (s *State) routers() int { return max(s.running, s.others.Routers()) + 1 }
+func (s *State) routers() int { return max(s.runningPeers, s.peers.Routers()) + 1 }
 
-// SetReportPeriod says how much time is between a router's reports.
-func (s *State) SetReportPeriod(d time.Duration) { s.others.SetPeriod(d) }
+// SetReportPeriod sets the interval between two reports of a router.
+func (s *State) SetReportPeriod(d time.Duration) { s.peers.SetPeriod(d) }
 
-// Heard takes in a report of another router.
+// Heard applies a report received from another router.
 func (s *State) Heard(now time.Time, router string, r view.Report) {
-	s.others.Heard(now, router, r)
+	s.peers.Heard(now, router, r)
 	for id, parts := range r.Kept {
-		if t := s.alive(id); t != nil {
+		if t := s.findIncarnation(id); t != nil {
 			t.cache.Heard(now, parts)
 		}
 	}
 	s.dispatch(now)
 }
 
-// Forget takes out all that another router reported.
-func (s *State) Forget(now time.Time, router string) { s.others.Forget(now, router) }
+// Forget removes everything that another router reported.
+func (s *State) Forget(now time.Time, router string) { s.peers.Forget(now, router) }
 
-// HeardLoad takes in what another router's requests now put on a target; it
-// replaces what the router's last report said of it.
+// HeardLoad sets the load that another router's requests put on a target. It replaces the one
+// in that router's last report.
 func (s *State) HeardLoad(now time.Time, router, target string, l view.Load) {
-	s.others.HeardLoad(now, router, target, l)
+	s.peers.HeardLoad(now, router, target, l)
 }
 
-// AddLoad takes in what a request of another router, or of one among those whose
-// sum stands under a name, adds to the load on a target.
+// AddLoad adds a request's load on a target to that of another router, or to the sum of
+// several routers that is kept under name.
 func (s *State) AddLoad(now time.Time, name, target string, l view.Load) {
-	s.others.AddLoad(now, name, target, l)
+	s.peers.AddLoad(now, name, target, l)
 }
 
-// Report returns what to tell the other routers; of what targets keep, it tells
-// what no report told before.
+// Report returns the report to send to the other routers. Of the cached prefixes it has only
+// those that no earlier report had.
 func (s *State) Report(now time.Time) view.Report {
 	r := view.Report{Loads: map[string]view.Load{}, Usage: map[string]view.Usage{}, Kept: map[string][]string{}}
 	for _, t := range s.targets {
-		if t.own.Running > 0 {
-			r.Loads[t.name] = t.own
+		if t.localLoad.Running > 0 {
+			r.Loads[t.incarnation] = t.localLoad
 		}
 		if parts := t.cache.Untold(); len(parts) > 0 {
-			r.Kept[t.name] = parts
+			r.Kept[t.incarnation] = parts
 		}
 	}
-	waiting := s.waitingOf()
-	for name := range s.shares.counts {
-		c := s.shares.of(now, name)
-		if c.asked >= 1 || c.begun >= 1 {
-			u := view.Usage{Asked: c.asked, Begun: c.begun, Waiting: waiting[name]}
+	waiting := s.waitingByOrganisation()
+	for name := range s.shares.usages {
+		c := s.shares.usageOf(now, name)
+		if c.demand >= 1 || c.served >= 1 {
+			u := view.Usage{Asked: c.demand, Begun: c.served, Waiting: waiting[name]}
 			u.Waiting += s.throttle.Refused(name)
 			r.Usage[name] = u
 			continue
 		}
-		delete(s.shares.counts, name)
+		delete(s.shares.usages, name)
 	}
 	return r
 }
 
-// loadOf returns the load on a target from all routers, as far as known.
+// loadOf returns the known load of all routers on a target.
 func (s *State) loadOf(now time.Time, t *target) view.Load {
-	others, _ := s.others.Load(now, t.name)
-	return t.own.Plus(others)
+	others, _ := s.peers.Load(now, t.incarnation)
+	return t.localLoad.Plus(others)
 }
--- a/internal/balance/plain_test.go
+++ b/internal/balance/plain_test.go
@@ -10,8 +10,8 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// A plain service whose requests take a fifth of their goal: bursts of three times its slots
-// come together, and are still served in time if they may wait at its targets.
+// Requests to a plain service take a fifth of their goal. They come in bursts of three times
+// its slots, and can all be served in time if they may queue at its targets.
 const (
 	burstTargets, burstSlots = 3, 6
 	burstWork                = 60 * time.Millisecond
@@ -19,18 +19,17 @@
 	burstSize                = 3 * burstTargets * burstSlots
 	burstPause               = 500 * time.Millisecond
 	bursts                   = 20
-	// burstLeast is the part of the requests of the later bursts that are to be served in
-	// time.
+	// minServedRatio is the fraction of the requests of the later bursts that must be served
+	// in time.
 	burstLeast = 0.95
 )
 
-// plainTarget works on so many requests at once as it has slots, and keeps the others
-// waiting in order.
+// plainTarget serves as many requests at once as it has slots, and queues the others in order.
 type plainTarget struct {
 	free []time.Time
 }
 
-// take returns when a request that comes now ends.
+// serve returns when a request that arrives now ends.
 func (p *plainTarget) take(now time.Time) time.Time {
 	first := 0
 	for i := range p.free {
@@ -67,7 +66,7 @@
 		from := start.Add(time.Duration(burst) * burstPause)
 		inTime := playBurst(s, from, targets, burst)
 		if burst < bursts/2 {
-			// How long requests take has to be learnt.
+			// The service time must be learnt first.
 			continue
 		}
 		served += inTime
@@ -78,7 +77,7 @@
 	}
 }
 
-// playBurst has a burst come and returns how many of it are served in time.
+// runBurst simulates a burst and returns how many of its requests are served in time.
 func playBurst(s *balance.State, from time.Time, targets map[string]*plainTarget, burst int) int {
 	waiting := map[*balance.Ticket]bool{}
 	ends := map[*balance.Ticket]time.Time{}
--- a/internal/balance/queue.go
+++ b/internal/balance/queue.go
@@ -9,9 +9,10 @@
 	"github.com/stepcroft/stepcroft/internal/view"
 )
 
-// crowds reports whether a request to engines is one too many of its
-// organisation.
-func (s *State) crowds(t *Ticket) bool {
+// exceedsWaitingLimit reports whether an organisation already has as many requests to engines
+// waiting as it may, so that another one must be refused. It also counts the refusal for
+// throttling.
+func (s *State) exceedsWaitingLimit(t *Ticket) bool {
 	if !t.Engine {
 		return false
 	}
@@ -21,75 +22,75 @@
 			n++
 		}
 	}
-	if n < maxWaitingOne {
+	if n < maxWaitingPerOrganisation {
 		return false
 	}
 	s.throttle.Crowded(t.Organisation)
 	return true
 }
 
-// SetBusy notes which part of its cores the router used lately.
+// SetBusy records the fraction of its cores that the router used lately.
 func (s *State) SetBusy(now time.Time, part, cores float64) {
-	s.throttle.SetBusy(now, part, cores, s.account(now))
+	s.throttle.SetBusy(now, part, cores, s.accountsAt(now))
 }
 
-// Throttles returns which organisations the router throttled since the last call.
+// Throttles returns the starts and ends of throttling since the last call, by organisation.
 func (s *State) Throttles() []throttle.Notice { return s.throttle.Notices() }
 
-// gatesAt returns the gates that are to hold until the next tick, by organisation.
+// gatesAt returns the admission gates that apply until the next tick, by organisation.
 func (s *State) gatesAt(now time.Time) map[string]*throttle.Gate {
-	return s.throttle.Gates(now, s.waitingOf(), s.account(now))
+	return s.throttle.Gates(now, s.waitingByOrganisation(), s.accountsAt(now))
 }
 
-// account returns what tells an organisation's account.
-func (s *State) account(now time.Time) func(organisation string) throttle.Account {
+// accountsAt returns a function that looks up how much an organisation has been served.
+func (s *State) accountsAt(now time.Time) func(organisation string) throttle.Account {
 	return func(organisation string) throttle.Account {
-		return throttle.Account{Had: s.hadOf(now, organisation), Level: s.levelAt(now), Least: s.leastWaiting(now)}
+		return throttle.Account{Had: s.served(now, organisation), Level: s.fairShare(now), Least: s.minServedWaiting(now)}
 	}
 }
 
 const (
-	// lead is by how much, in percent, an organisation may have had more than
-	// one whose requests wait here before its own have to wait too.
-	lead = 15
-	// farLead is how many times as much it may have had as one whose requests
-	// wait at another router. What is known of those is old: at a small lead all
-	// routers hold theirs back for one another while engines are idle. Twice as
-	// much is unfair.
-	farLead = 1.4
+	// leadPercent is by how much more than an organisation with requests waiting here another
+	// one may have been served before its own requests must wait too.
+	leadPercent = 15
+	// remoteLeadFactor is the same limit, as a factor, towards organisations with requests
+	// waiting at other routers. Reports on those are old: with a small limit all routers hold
+	// back requests in favour of one another while engines are idle. A factor of 2 would be
+	// unfair.
+	remoteLeadFactor = 1.4
 )
 
-// behind reports whether a request to an engine must not pass those that
-// wait, here or at other routers: its organisation had more than theirs.
-func (s *State) behind(now time.Time, t *Ticket) bool {
-	return t.Engine && !t.Resumes && s.leads(now, t.Organisation, s.leastWaiting(now))
+// mustQueue reports whether a request to an engine must not overtake those waiting, here or at
+// other routers, because its organisation was served more than theirs.
+func (s *State) mustQueue(now time.Time, t *Ticket) bool {
+	return t.Engine && !t.Resumes && s.exceedsLead(now, t.Organisation, s.minServedWaiting(now))
 }
 
-// leads reports whether an organisation must let one go first whose requests
-// wait and that had the least. One that is within its share takes nothing that
-// is another's and lets nobody go first: in a large fleet some small
-// organisation always waits somewhere, and all would wait for it.
-func (s *State) leads(now time.Time, organisation string, least float64) bool {
-	return s.over(now, organisation) && s.hadOf(now, organisation)*100 > least*(100+lead)
+// exceedsLead reports whether an organisation must let others go first, where least is the
+// least that any organisation with waiting requests was served. An organisation within its
+// share takes nothing from others and lets nobody go first: in a large fleet some small
+// organisation always has requests waiting somewhere, and all others would wait for it.
+func (s *State) exceedsLead(now time.Time, organisation string, least float64) bool {
+	return s.overShare(now, organisation) && s.served(now, organisation)*100 > least*(100+leadPercent)
 }
 
-// leastWaiting returns the least that an organisation had whose requests to
-// engines wait anywhere, or infinity if none waits.
-func (s *State) leastWaiting(now time.Time) float64 {
+// minServedWaiting returns the least that any organisation with waiting requests to engines
+// was served, over all routers, or infinity if no request waits.
+func (s *State) minServedWaiting(now time.Time) float64 {
 	least := math.Inf(1)
-	for name := range s.waitingOf() {
-		least = min(least, s.hadOf(now, name))
+	for name := range s.waitingByOrganisation() {
+		least = min(least, s.served(now, name))
 	}
-	s.others.Organisations(now, func(name string, u view.Usage) {
+	s.peers.Organisations(now, func(name string, u view.Usage) {
 		if u.Waiting > 0 {
-			least = min(least, (s.shares.of(now, name).begun+u.Begun)*farLead)
+			least = min(least, (s.shares.usageOf(now, name).served+u.Begun)*remoteLeadFactor)
 		}
 	})
 	return least
 }
 
-// waitingOf returns how many requests to engines wait here, by organisation.
-func (s *State) waitingOf() map[string]int {
+// waitingByOrganisation returns the number of requests to engines that wait here.
+func (s *State) waitingByOrganisation() map[string]int {
 	waiting := map[string]int{}
 	for _, t := range s.queue {
 		if t.Engine {
@@ -99,30 +100,30 @@
 	return waiting
 }
 
-// Withdraw takes a waiting request back, as when its caller has gone.
+// Withdraw removes a waiting request from the queue, for example when its caller has gone.
 func (s *State) Withdraw(t *Ticket) {
 	if i := slices.Index(s.queue, t); i >= 0 {
 		s.queue = slices.Delete(s.queue, i, i+1)
 	}
 }
 
-// reason returns why a request has found no target.
-func (s *State) reason(now time.Time, t *Ticket) Reason {
+// refusalReason returns why no target was found for a request.
+func (s *State) refusalReason(now time.Time, t *Ticket) Reason {
 	open := slices.ContainsFunc(s.services[t.Service], func(to *target) bool { return !to.Closed(now) })
-	_, rest := s.restEnd(now, t.Service, t.Tried)
+	_, rest := s.backoffEnd(now, t.Service, t.Tried)
 	switch {
 	case !open:
 		return NoTarget
 	case rest:
 		return Resting
-	case s.behind(now, t):
+	case s.mustQueue(now, t):
 		return OverShare
 	}
 	return Full
 }
 
-// allDrained reports whether nothing can be sent to any target of a service, of which some
-// stand in drained availability zones.
+// allDrained reports whether no target of a service takes requests and at least one of them
+// stands in a drained availability zone.
 func (s *State) allDrained(now time.Time, service string) bool {
 	drained := false
 	for _, to := range s.services[service] {
@@ -134,16 +135,16 @@
 	return drained
 }
 
-// unservable returns why a request cannot be sent to any of its service's targets while it
-// may wait, for as long as these are the ones there are. A service without targets may get
-// some any moment.
+// unservable returns the reason if none of the service's current targets can take a request
+// before its wait ends. A service without any targets may get some at any moment, so its
+// requests wait.
 func (s *State) unservable(now time.Time, t *Ticket) (Reason, bool) {
 	list := s.services[t.Service]
 	if len(list) == 0 {
 		return "", false
 	}
 	if slices.ContainsFunc(list, func(to *target) bool { return !to.Closed(now) }) {
-		end, rest := s.restEnd(now, t.Service, t.Tried)
+		end, rest := s.backoffEnd(now, t.Service, t.Tried)
 		return Resting, rest && end.After(t.expires)
 	}
 	if s.allDrained(now, t.Service) {
@@ -152,7 +153,7 @@
 	return NoTarget, true
 }
 
-// refuseUnservable refuses what waits and cannot be sent to any target.
+// refuseUnservable refuses all waiting requests that none of the current targets can take.
 func (s *State) refuseUnservable(now time.Time) {
 	s.queue = slices.DeleteFunc(s.queue, func(t *Ticket) bool {
 		why, ok := s.unservable(now, t)
@@ -163,47 +164,47 @@
 	})
 }
 
-// Waiting returns the number of requests that wait for room.
+// Waiting returns the number of waiting requests.
 func (s *State) Waiting() int { return len(s.queue) }
 
-// dispatch sends waiting requests where there is room: those of the
-// organisation that had least first, and the oldest of its requests first.
-// None of an organisation that had its share passes one that waits for
-// another.
+// dispatch sends waiting requests to targets with room. The organisation that was served least
+// goes first, and its oldest request first. A request of an organisation over its share does
+// not overtake another organisation's waiting request.
 func (s *State) dispatch(now time.Time) {
-	if len(s.queue) == 0 || len(s.queue) > fewWaiting && now.Sub(s.dispatched) < dispatchPause {
+	if len(s.queue) == 0 || len(s.queue) > eagerDispatchLength && now.Sub(s.lastDispatch) < dispatchInterval {
 		return
 	}
-	s.dispatched = now
-	had := map[string]float64{}
+	s.lastDispatch = now
+	served := map[string]float64{}
 	for _, t := range s.queue {
-		if _, ok := had[t.Organisation]; !ok {
-			had[t.Organisation] = s.hadOf(now, t.Organisation)
+		if _, ok := served[t.Organisation]; !ok {
+			served[t.Organisation] = s.served(now, t.Organisation)
 		}
 	}
 	slices.SortStableFunc(s.queue, func(a, b *Ticket) int {
-		if d := had[a.Organisation] - had[b.Organisation]; d != 0 {
+		if d := served[a.Organisation] - served[b.Organisation]; d != 0 {
 			return sign(d)
 		}
 		return a.Arrived.Compare(b.Arrived)
 	})
-	// The queue is in order, so that what goes first had the least here.
-	least := s.leastWaiting(now)
-	kept := s.queue[:0]
+	// The queue is sorted by what organisations were served, so the first entry was served
+	// least here.
+	least := s.minServedWaiting(now)
+	waiting := s.queue[:0]
 	failed := 0
 	for _, t := range s.queue {
-		ahead := t.Engine && !t.Resumes && s.leads(now, t.Organisation, least)
-		if ahead || t.Engine && failed >= maxFailed {
-			kept = append(kept, t)
+		yields := t.Engine && !t.Resumes && s.exceedsLead(now, t.Organisation, least)
+		if yields || t.Engine && failed >= maxFailedPlacements {
+			waiting = append(waiting, t)
 			continue
 		}
 		if !s.assign(now, t) {
-			kept = append(kept, t)
+			waiting = append(waiting, t)
 			failed++
 		}
 	}
-	clear(s.queue[len(kept):])
-	s.queue = kept
+	clear(s.queue[len(waiting):])
+	s.queue = waiting
 }
 
 func sign(d float64) int {
@@ -214,32 +215,32 @@
 }
 
 func (s *State) refuse(now time.Time, t *Ticket, why Reason) {
-	t.Decision <- Decision{Refused: why, Waited: now.Sub(t.Arrived), RetryAfter: s.comeBack(now, t)}
+	t.Decision <- Decision{Refused: why, Waited: now.Sub(t.Arrived), RetryAfter: s.retryAfter(now, t)}
 }
 
 const (
-	// comeBackFull is when to come back after a refusal for want of room:
-	// about the time in which engines read what they may hold unread.
-	comeBackFull = 300 * time.Millisecond
-	// comeBackOver is when to come back for an organisation that had its
-	// share: half of a quota window.
-	comeBackOver = 1500 * time.Millisecond
-	// comeBackDrained is when to come back where all availability zones with targets of
-	// a service are drained: that lasts seconds at least.
-	comeBackDrained = 2 * time.Second
+	// retryAfterFull is the Retry-After of requests that were refused for lack of room. It is
+	// about the time in which engines read all the prompt tokens that they may have pending.
+	retryAfterFull = 300 * time.Millisecond
+	// retryAfterOverShare is the Retry-After of organisations over their share: half a quota
+	// window.
+	retryAfterOverShare = 1500 * time.Millisecond
+	// retryAfterDrained is the Retry-After where all availability zones with targets of a
+	// service are drained, which lasts seconds at least.
+	retryAfterDrained = 2 * time.Second
 )
 
-// comeBack returns when a refused caller should come back, spread so that
-// refused callers do not return together.
-func (s *State) comeBack(now time.Time, t *Ticket) time.Duration {
+// retryAfter returns when a refused caller should retry, with jitter so that refused callers
+// do not retry together.
+func (s *State) retryAfter(now time.Time, t *Ticket) time.Duration {
 	if d, ok := s.RestLeft(now, t.Service); ok {
 		return d
 	}
-	d := comeBackFull
+	d := retryAfterFull
 	if s.allDrained(now, t.Service) {
-		d = comeBackDrained
-	} else if s.over(now, t.Organisation) {
-		d = comeBackOver
+		d = retryAfterDrained
+	} else if s.overShare(now, t.Organisation) {
+		d = retryAfterOverShare
 	}
 	return d + time.Duration(s.random.Int64N(int64(d)))
 }
--- a/internal/balance/random_test.go
+++ b/internal/balance/random_test.go
@@ -12,17 +12,16 @@
 	"github.com/stepcroft/stepcroft/internal/view"
 )
 
-// model is a state under random events and what must hold of it.
+// model is a state under random events with what is needed to check its invariants.
 type model struct {
 	*world
 	waiting, running []*balance.Ticket
 	leaving          map[string]bool
-	// retries and arrivals are when requests were sent once more and came, to
-	// plain targets and to engines.
+	// retries and arrivals have the times of retries and of first arrivals, by service.
 	retries, arrivals map[string][]time.Time
 }
 
-// lately counts the times within a retry window before now.
+// withinWindow counts the times within a retry window before now.
 func (m *model) lately(times []time.Time) int {
 	n := 0
 	for _, at := range times {
@@ -33,7 +32,7 @@
 	return n
 }
 
-// collect moves tickets that got a decision to where they belong.
+// collect moves waiting tickets that got a decision on, and checks the decision.
 func (m *model) collect(t *rapid.T) {
 	left := m.waiting[:0]
 	for _, k := range m.waiting {
@@ -43,15 +42,15 @@
 			left = append(left, k)
 		case d.Refused != "":
 			if d.RetryAfter <= 0 {
-				t.Fatalf("refused without a time to come back")
+				t.Fatalf("refused without Retry-After")
 			}
 		default:
 			if m.leaving[d.Target.ID] {
-				t.Fatalf("sent to %s, which is leaving", d.Target.ID)
+				t.Fatalf("request sent to %s, which is leaving", d.Target.ID)
 			}
 			for _, id := range k.Tried {
 				if id == d.Target.ID {
-					t.Fatalf("sent to %s again", id)
+					t.Fatalf("request sent to %s again", id)
 				}
 			}
 			m.running = append(m.running, k)
@@ -149,9 +148,9 @@
 	}
 }
 
-// TestRandom runs random events and looks after each that no request is sent
-// where it must not go, that loads never fall below zero, and at the end that
-// every request got a decision and no load is left over.
+// TestRandom applies random events. After each it checks that no request is sent to an
+// excluded target and that no load is negative, and at the end that every request got a
+// decision and no load remains.
 func TestRandom(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -160,7 +159,7 @@
 		m.pass(time.Minute)
 		m.collect(t)
 		if n := len(m.waiting); n > 0 {
-			t.Fatalf("%d requests wait for ever", n)
+			t.Fatalf("%d requests got no decision", n)
 		}
 		for _, k := range m.running {
 			m.Ended(m.now, k, balance.Answered)
--- a/internal/balance/rest_test.go
+++ b/internal/balance/rest_test.go
@@ -13,35 +13,39 @@
 )
 
 const (
-	// restAsked is the rest that a target asks for, restSlack the time after that answer in
-	// which more may arrive, and restArrivals how many may arrive later while it rests.
+	// requestedBackoff is the backoff that a target asks for. Within arrivalGrace after that
+	// answer any number of requests may still arrive, later in the backoff at most
+	// maxLateArrivals.
 	restAsked    = 3 * time.Second
 	restSlack    = 500 * time.Millisecond
 	restArrivals = 2
-	// wayMost is the longest that a request takes to its target, connecting included.
+	// maxTransit is the longest time that a request takes to reach its target, including to
+	// connect.
 	wayMost = 400 * time.Millisecond
-	// playStep and playTime are the step and the length of a play.
+	// simStep and simDuration are the time step and the length of a simulation.
 	playStep, playTime = 5 * time.Millisecond, 20 * time.Second
 )
 
-// restPlay is a router before targets of which some turn everything away for a while.
+// backoffSim simulates a router with targets of which some refuse all requests for a while.
 type restPlay struct {
 	*world
 	*rand.Rand
 	from, until time.Time
 	refuses     func(id string) bool
-	// silent is set where they do not ask for a rest.
+	// plain is set if the requests are for the plain service, silent if refusing targets do
+	// not ask for a backoff. refusedAt and arrived have the times at which requests were
+	// refused by and reached each target.
 	plain, silent bool
 	asked         map[string][]time.Time
 	arrived       map[string][]time.Time
 	due           []due
-	// refused has what callers were told that had no target.
+	// refused has the router's refusals.
 	refused []balance.Decision
 	served  int
 }
 
-// newRestPlay returns a play of six engines and six plain targets, some of which turn all away
-// from the fourth second to the thirteenth.
+// newBackoffSim returns a simulation of six engines and six plain targets, of which those that
+// refuses selects refuse all requests from the fourth second to the thirteenth.
 func newRestPlay(refuses func(id string) bool, plain bool) *restPlay {
 	w := newWorld(6)
 	return &restPlay{
@@ -51,7 +55,7 @@
 	}
 }
 
-// due is something that happens later.
+// due is an action at a later time.
 type due struct {
 	at time.Time
 	do func()
@@ -59,7 +63,7 @@
 
 func (p *restPlay) after(d time.Duration, do func()) { p.due = append(p.due, due{p.now.Add(d), do}) }
 
-// ask sends a request, and once more if it is turned away.
+// send simulates a request, which is retried once if its target refuses it.
 func (p *restPlay) ask() {
 	k := p.prompt("o", fmt.Sprint("shared", p.IntN(24)), 100)
 	if p.plain {
@@ -69,7 +73,7 @@
 	p.follow(k, 1)
 }
 
-// follow sends what has a target and looks again for the rest.
+// follow sends a request on once it has a target, and checks again later while it waits.
 func (p *restPlay) follow(k *balance.Ticket, repeats int) {
 	d := decision(k)
 	switch {
@@ -86,7 +90,7 @@
 	}
 }
 
-// reach has a request reach its target.
+// reach simulates that a request reaches its target.
 func (p *restPlay) reach(k *balance.Ticket, id string, repeats int) {
 	p.arrived[id] = append(p.arrived[id], p.now)
 	if p.now.Before(p.from) || !p.now.Before(p.until) || !p.refuses(id) {
@@ -127,7 +131,7 @@
 			p.ask()
 		}
 		if p.IntN(40) == 0 {
-			// The list comes again, now and then without one of them for a moment.
+			// The list is replaced now and then; for a moment one target is missing from it.
 			i := p.IntN(len(targets(6)))
 			p.SetTargets(p.now, slices.Delete(targets(6), i, i+1))
 			p.SetTargets(p.now, targets(6))
@@ -135,7 +139,8 @@
 	}
 }
 
-// late returns the most requests that arrived at a target while it rested.
+// maxLate returns the highest number of requests that reached a single target during its
+// backoff.
 func (p *restPlay) late() int {
 	most := 0
 	for id, list := range p.asked {
@@ -152,8 +157,8 @@
 	return most
 }
 
-// Targets that turned requests away and asked for a rest got all the more of them, since
-// nothing ran there.
+// Guards against sending more requests to targets that refused requests and asked for a
+// backoff: since nothing runs there, they look like the least loaded ones.
 func TestRequestsReachRestingTargets(t *testing.T) {
 	gomega.RegisterTestingT(t)
 	cases := map[string]struct {
@@ -171,24 +176,24 @@
 			p := newRestPlay(c.refuses, c.plain)
 			p.run(0.5)
 			if n := p.late(); n > restArrivals {
-				t.Errorf("%d requests reached a target while it rested, %d may", n, restArrivals)
+				t.Errorf("%d requests reached a target during its backoff, want at most %d", n, restArrivals)
 			}
 			if !c.all && len(p.refused) > 0 {
-				t.Errorf("%d of %d refused though other targets have room, first %+v", len(p.refused), p.served, p.refused[0])
+				t.Errorf("%d requests refused and %d served though other targets have room, first refusal %+v", len(p.refused), p.served, p.refused[0])
 			}
 			if c.all && !slices.ContainsFunc(p.refused, func(d balance.Decision) bool { return d.RetryAfter > time.Second }) {
-				t.Errorf("nobody was told to come back after the rest; %d refused", len(p.refused))
+				t.Errorf("none of %d refusals had a Retry-After past the backoff", len(p.refused))
 			}
 			for id := range p.asked {
 				if last := p.arrived[id][len(p.arrived[id])-1]; !last.After(p.until.Add(restAsked)) {
-					t.Errorf("%s got nothing after its rest", id)
+					t.Errorf("%s got no requests after its backoff", id)
 				}
 			}
 		})
 	}
 }
 
-// rate returns how many requests a second arrived at a target between two times.
+// rate returns how many requests a second reached a target between two times.
 func (p *restPlay) rate(id string, from, until time.Time) float64 {
 	n := 0
 	for _, at := range p.arrived[id] {
@@ -199,8 +204,9 @@
 	return float64(n) / until.Sub(from).Seconds()
 }
 
-// Targets that turned one request after another away, and did not say for how long, got all the
-// more of them: nothing ran there. Organisations were served by the luck of whose requests came
+// Guards against sending more requests to targets that refuse one request after another
+// without asking for a backoff: since nothing runs there, they look like the least loaded
+// ones. Which organisations were served then depended on whose requests happened to go
 // elsewhere.
 func TestRequestsDrawnByTargetsThatTurnAllAway(t *testing.T) {
 	gomega.RegisterTestingT(t)
@@ -221,10 +227,10 @@
 			for id := range p.asked {
 				before, while := p.rate(id, began, p.from), p.rate(id, p.from, p.until)
 				if while > before {
-					t.Errorf("%s got %.1f requests a second while it turned all away, %.1f before", id, while, before)
+					t.Errorf("%s got %.1f requests a second while it refused all, %.1f before", id, while, before)
 				}
 				if last := p.arrived[id][len(p.arrived[id])-1]; !last.After(p.until.Add(time.Second)) {
-					t.Errorf("%s got nothing once it took requests again", id)
+					t.Errorf("%s got no requests after it stopped refusing them", id)
 				}
 			}
 		})
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -7,63 +7,63 @@
 )
 
 const (
-	// roomShare is the part, in percent, of the shortest goal of a service's
-	// routes for which an engine may have to read when a request is added, over
-	// all routers: what comes next must still find it in time.
-	roomShare = 35
-	// shareTolerance is up to how many times its share an organisation counts as
-	// within it: shares are counted over seconds of which the last half is known
-	// late, and requests come in bursts. Beyond, the part of the room that is open
-	// to an organisation falls in proportion, so that the others find room.
+	// backlogPercent bounds an engine's backlog, in time to read it and over all routers, to
+	// this part of the shortest goal of the service's routes. Later requests must still be
+	// able to start in time.
+	backlogPercent = 35
+	// shareTolerance is the ratio to its share up to which an organisation counts as within
+	// it. Shares are counted over seconds, of which the last half is known late, and requests
+	// come in bursts. Beyond, the backlog that the organisation may fill shrinks in
+	// proportion, to leave room to others.
 	shareTolerance = 1.5
-	// leastRoom is the least part of the room that is open, in percent.
-	leastRoom = 25
-	// defaultGoal stands for the shortest goal where none is configured.
+	// minRoomPercent is the part of the allowed backlog that stays open to every organisation.
+	minRoomPercent = 25
+	// defaultGoal is used if no goal is configured.
 	defaultGoal = 600 * time.Millisecond
 )
 
-// room is what a request may use of an engine.
+// room bounds the use of engines by a request.
 type room struct {
-	// backlog is for how long the engine may have to read, the request
-	// included.
-	backlog time.Duration
-	// left is the time in which the first event is due.
-	left time.Duration
-	// timely is set if the request may also be sent to an engine that has more
-	// to read, as long as its first event is expected in time.
+	// maxBacklog bounds the time that the engine takes to read its pending prompts, this
+	// request included.
+	maxBacklog time.Duration
+	// remaining is the time remaining until the first event is due.
+	remaining time.Duration
+	// timely is set if the request may also be sent to an engine with a larger backlog,
+	// provided its first event is expected in time.
 	timely bool
 }
 
-// room returns what a request may use of an engine whose organisation had
-// excess times its share.
-func (s *State) room(now time.Time, t *Ticket, excess float64) room {
+// room returns the bounds for a request of an organisation that was served ratio times its
+// share.
+func (s *State) room(now time.Time, t *Ticket, ratio float64) room {
 	goal := s.table.ShortestGoal(t.Service)
 	if goal <= 0 {
 		goal = defaultGoal
 	}
-	r := room{backlog: goal * roomShare / 100, left: t.Goal - now.Sub(t.Arrived)}
+	r := room{maxBacklog: goal * backlogPercent / 100, remaining: t.Goal - now.Sub(t.Arrived)}
 	switch {
 	case t.Resumes:
-		r.backlog *= 2
-	case excess > shareTolerance:
-		r.backlog = time.Duration(float64(r.backlog) * max(shareTolerance/excess, leastRoom/100.0))
+		r.maxBacklog *= 2
+	case ratio > shareTolerance:
+		r.maxBacklog = time.Duration(float64(r.maxBacklog) * max(shareTolerance/ratio, minRoomPercent/100.0))
 	default:
 		r.timely = true
 	}
 	return r
 }
 
-// holds reports whether there is room at a place. A prompt counts for no more
-// than half of it: a long one must run somewhere, and would never find room
-// beside short ones that keep the engine reading.
-func (r room) holds(p place, m *pace.Model) bool {
-	if r.timely && p.safe <= r.left {
+// admits reports whether a placement is within the bounds. A prompt counts for at most half of
+// the backlog: otherwise a long one would never find room beside short ones that keep the
+// engine reading.
+func (r room) admits(p placement, m *pace.Model) bool {
+	if r.timely && p.safe <= r.remaining {
 		return true
 	}
-	return m.Reading(p.work.Ahead)+min(m.Reading(p.read), r.backlog/2) <= r.backlog
+	return m.Reading(p.work.Ahead)+min(m.Reading(p.missTokens), r.maxBacklog/2) <= r.maxBacklog
 }
 
-// pace returns what is known of the engines of a service.
+// pace returns the model of prefill times of the engines of a service.
 func (s *State) pace(service string) *pace.Model {
 	m := s.paces[service]
 	if m == nil {
@@ -73,13 +73,13 @@
 	return m
 }
 
-// ahead returns the prompt tokens that an engine has yet to read: those it was
-// sent as far as known, less what it has read since that was known. It reads
-// own and others' requests in the order in which they came, each for about its
-// part of the time.
-func (s *State) ahead(now time.Time, c *target, m *pace.Model) int {
-	load, told := s.others.Load(now, c.name)
-	own, others := float64(c.own.Unread), float64(load.Unread)
+// pendingTokens returns the estimated number of prompt tokens that an engine has yet to read:
+// those known to have been sent to it, less what it has read since that was known. It assumes
+// that the engine reads the requests of this and of other routers in order of arrival, and
+// divides its time between them in proportion to their tokens.
+func (s *State) pendingTokens(now time.Time, c *target, m *pace.Model) int {
+	load, reportedAt := s.peers.Load(now, c.incarnation)
+	own, others := float64(c.localLoad.Unread), float64(load.Unread)
 	if own+others <= 0 {
 		return 0
 	}
@@ -87,13 +87,13 @@
 	ownShare := own / (own + others)
 	if len(c.waiting) > 0 {
 		first := c.waiting[0]
-		since := first.sent
-		if c.progress.After(since) {
-			since = c.progress
+		since := first.sentAt
+		if c.lastProgress.After(since) {
+			since = c.lastProgress
 		}
 		read := now.Sub(since).Seconds() * perSecond * ownShare
 		own -= min(read, float64(first.load.Unread))
 	}
-	others -= min(now.Sub(told).Seconds()*perSecond*(1-ownShare), others)
+	others -= min(now.Sub(reportedAt).Seconds()*perSecond*(1-ownShare), others)
 	return int(own + others)
 }
--- a/internal/balance/room_test.go
+++ b/internal/balance/room_test.go
@@ -11,15 +11,15 @@
 	"github.com/stepcroft/stepcroft/internal/view"
 )
 
-// unshared returns a ticket for a prompt without shared parts.
+// unshared returns a ticket for a prompt without a shared prefix.
 func (w *world) unshared(organisation string, tokens int) *balance.Ticket {
 	t := w.prompt(organisation, "", tokens)
 	t.Parts, t.Input = t.Parts[1:], tokens
 	return t
 }
 
-// learn runs requests whose first events take a fixed time and a time per 1,000
-// tokens to read.
+// train runs requests whose first event takes a fixed time plus a time per 1,000 tokens of the
+// prompt.
 func (w *world) learn(fixed, perThousand time.Duration) {
 	for i := range 600 {
 		t := w.unshared("learning", 100+i%20*300)
@@ -27,12 +27,13 @@
 		Expect(w.arrive(t)).NotTo(BeNil())
 		w.pass(fixed + perThousand*time.Duration(t.Input)/1000)
 		w.serve(t)
-		// The organisation's usage is forgotten before the next one.
+		// The organisation's usage decays before the next request.
 		w.now = w.now.Add(time.Minute)
 	}
 }
 
-// sent returns how many prompts of an organisation are sent at once.
+// sendUntilFull returns how many prompts of an organisation are sent before the first one
+// waits.
 func (w *world) sent(organisation string, tokens int) int {
 	for n := range 100 {
 		if w.arrive(w.unshared(organisation, tokens)) == nil {
@@ -43,7 +44,7 @@
 }
 
 var _ = Describe("Room at an engine", func() {
-	It("is the number of prompts whose first events come in time", func() {
+	It("bounds the number of prompts by the time to their first events", func() {
 		for name, c := range map[string]struct {
 			perThousand time.Duration
 			least, most int
@@ -57,7 +58,7 @@
 		}
 	})
 
-	It("is smaller for organisations that had their share", func() {
+	It("is smaller for organisations over their share", func() {
 		within, over := newWorld(1), newWorld(1)
 		over.Heard(over.now, "r", view.Report{Usage: map[string]view.Usage{
 			"o": {Asked: 20 * tokensPerSecond, Begun: 20 * tokensPerSecond}, "p": {Asked: 20 * tokensPerSecond},
@@ -65,7 +66,7 @@
 		Expect(over.sent("o", 1000)).To(BeNumerically("<", within.sent("o", 1000)/2))
 	})
 
-	It("comes back as the engine reads", func() {
+	It("grows as the engine reads", func() {
 		w := newWorld(2)
 		w.learn(50*time.Millisecond, 25*time.Millisecond)
 		w.Heard(w.now, "r", view.Report{Loads: map[string]view.Load{
--- a/internal/balance/shares.go
+++ b/internal/balance/shares.go
@@ -8,116 +8,118 @@
 	"github.com/stepcroft/stepcroft/internal/view"
 )
 
-// shares counts what organisations asked for and got, in tokens, over about
-// a quota window.
+// shares counts each organisation's demand and what it was served, in tokens, over about a
+// quota window.
 type shares struct {
-	// capacity is what the engines produce, in tokens a second; 0 if unknown.
+	// capacity is the throughput of all engines, in tokens a second; 0 if unknown.
 	capacity float64
 	window   time.Duration
-	counts   map[string]*count
+	usages   map[string]*usage
 }
 
-// count is an organisation's tokens, decaying over the window.
-type count struct {
-	asked, begun float64
-	at           time.Time
+// usage is an organisation's demand and what it was served at this router, in tokens that
+// decay over the window.
+type usage struct {
+	demand, served float64
+	updated        time.Time
 }
 
 func newShares(window time.Duration) shares {
-	return shares{window: window, counts: map[string]*count{}}
+	return shares{window: window, usages: map[string]*usage{}}
 }
 
-// decayTo lets a count decay to now. The time constant is half the window, so
-// that most of the weight lies within it.
-func (c *count) decayTo(now time.Time, window time.Duration) {
-	d := now.Sub(c.at)
+// decayTo decays the counts to now. The time constant is half the window, so that most of the
+// weight lies within the window.
+func (c *usage) decayTo(now time.Time, window time.Duration) {
+	d := now.Sub(c.updated)
 	if d <= 0 {
 		return
 	}
 	f := view.Decay(d, window)
-	c.asked *= f
-	c.begun *= f
-	c.at = now
+	c.demand *= f
+	c.served *= f
+	c.updated = now
 }
 
-func (s *shares) of(now time.Time, organisation string) *count {
-	c := s.counts[organisation]
+func (s *shares) usageOf(now time.Time, organisation string) *usage {
+	c := s.usages[organisation]
 	if c == nil {
-		c = &count{at: now}
-		s.counts[organisation] = c
+		c = &usage{updated: now}
+		s.usages[organisation] = c
 	}
 	c.decayTo(now, s.window)
 	return c
 }
 
-func (s *shares) asked(now time.Time, organisation string, tokens float64) {
-	s.of(now, organisation).asked += tokens
+func (s *shares) addDemand(now time.Time, organisation string, tokens float64) {
+	s.usageOf(now, organisation).demand += tokens
 }
 
-func (s *shares) begun(now time.Time, organisation string, tokens float64) {
-	c := s.of(now, organisation)
-	c.begun = max(c.begun+tokens, 0)
+func (s *shares) addServed(now time.Time, organisation string, tokens float64) {
+	c := s.usageOf(now, organisation)
+	c.served = max(c.served+tokens, 0)
 }
 
-// hadOf returns what an organisation got of all routers.
-func (s *State) hadOf(now time.Time, organisation string) float64 {
-	return s.shares.of(now, organisation).begun + s.others.Usage(now, organisation).Begun
+// served returns the tokens that an organisation was served by all routers.
+func (s *State) served(now time.Time, organisation string) float64 {
+	return s.shares.usageOf(now, organisation).served + s.peers.Usage(now, organisation).Begun
 }
 
-// excess returns how many times its share of what the engines produce, as
-// max-min fairness divides it, an organisation had.
-func (s *State) excess(now time.Time, organisation string) float64 {
+// shareRatio returns what an organisation was served, relative to its max-min fair share of
+// the engines' capacity; 0 if the capacity is unknown.
+func (s *State) shareRatio(now time.Time, organisation string) float64 {
 	if organisation == "" || s.shares.capacity <= 0 {
 		return 0
 	}
-	return s.hadOf(now, organisation) / max(s.levelAt(now), 1)
+	return s.served(now, organisation) / max(s.fairShare(now), 1)
 }
 
-// over reports whether an organisation already had its share.
-func (s *State) over(now time.Time, organisation string) bool { return s.excess(now, organisation) > 1 }
+// overShare reports whether an organisation was served more than its share.
+func (s *State) overShare(now time.Time, organisation string) bool {
+	return s.shareRatio(now, organisation) > 1
+}
 
-// levelAge is for how long a level is used before it is worked out anew.
-const levelAge = 50 * time.Millisecond
+// levelTTL is how long a computed fair share is used before it is computed again.
+const levelTTL = 50 * time.Millisecond
 
-// level is the most that an organisation may have got, and when that was
-// worked out.
+// level is the max-min fair share of an organisation, and when it was computed.
 type level struct {
-	tokens float64
-	at     time.Time
+	tokens   float64
+	computed time.Time
 }
 
-// levelAt returns the most that an organisation may have got: the level at
-// which what all ask for, cut to it, adds up to the capacity.
-func (s *State) levelAt(now time.Time) float64 {
-	if now.Sub(s.level.at) < levelAge {
+// fairShare returns the most that an organisation may be served: the level at which the
+// demands of all, each cut to it, add up to the capacity.
+func (s *State) fairShare(now time.Time) float64 {
+	if now.Sub(s.level.computed) < levelTTL {
 		return s.level.tokens
 	}
-	var asked []float64
-	for name := range s.shares.counts {
-		asked = append(asked, s.shares.of(now, name).asked+s.others.Usage(now, name).Asked)
+	var demands []float64
+	for name := range s.shares.usages {
+		demands = append(demands, s.shares.usageOf(now, name).demand+s.peers.Usage(now, name).Asked)
 	}
-	s.others.Organisations(now, func(name string, u view.Usage) {
-		if s.shares.counts[name] == nil {
-			asked = append(asked, u.Asked)
+	s.peers.Organisations(now, func(name string, u view.Usage) {
+		if s.shares.usages[name] == nil {
+			demands = append(demands, u.Asked)
 		}
 	})
 	// A constant rate decays to rate times the time constant.
 	capacity := s.shares.capacity * s.limits.QuotaWindow.Seconds() / 2
-	s.level = level{tokens: fill(asked, capacity), at: now}
+	s.level = level{tokens: maxMinLevel(demands, capacity), computed: now}
 	return s.level.tokens
 }
 
-// fill returns the level l at which the sum of min(a, l) over all a is
+// maxMinLevel returns the level l at which the sum of min(d, l) over all demands d is
 // capacity, or infinity if all fit.
-func fill(asked []float64, capacity float64) float64 {
-	slices.Sort(asked)
+func maxMinLevel(demands []float64, capacity float64) float64 {
+	slices.Sort(demands)
 	left := capacity
-	for i, a := range asked {
-		even := left / float64(len(asked)-i)
-		if a > even {
+	for i, demand := range demands {
+		even := left / float64(len(demands)-i)
+		if demand > even {
 			return even
 		}
-		left -= a
+		left -= demand
 	}
 	return math.Inf(1)
 }
--- a/internal/balance/ticket.go
+++ b/internal/balance/ticket.go
@@ -10,71 +10,71 @@
 	"github.com/stepcroft/stepcroft/internal/view"
 )
 
-// Ticket is a request as far as balancing goes. What the caller said does not
-// change; the unexported fields belong to the State.
+// Ticket is a request as far as balancing is concerned. The exported fields describe the
+// request and do not change, except as noted; the unexported ones belong to the State.
 type Ticket struct {
 	ID           string
 	Service      string
 	Organisation string
-	// Engine is set for requests to model engines, Stream if the answer comes
-	// in events.
+	// Engine is set for requests to model engines, Stream if the answer is streamed as events.
 	Engine, Stream bool
-	// Parts is the prompt in order; the last one is the request's or its
-	// session's own.
+	// Parts are the parts of the prompt in order. The last one belongs to this request or its
+	// session only, the others are shared prefixes.
 	Parts []prefix.Part
-	// Input is the number of prompt tokens, Output the expected number of
-	// tokens of the answer.
+	// Input is the number of prompt tokens, Output the expected number of tokens of the
+	// answer.
 	Input, Output int
 	Goal          time.Duration
 	Arrived       time.Time
 	Deadline      time.Time
-	// Tried names the incarnations of targets that the request was sent to before.
+	// Tried has the incarnations of the targets that the request was sent to before.
 	Tried []string
-	// Resumes is set when the rest of an answer is sought of which the caller
-	// has a part: it then waits as long as it can and passes all others.
+	// Resumes is set if the caller already has a part of the answer and the rest is requested.
+	// Such a request waits up to maxResumeWait and overtakes all others.
 	Resumes bool
-	// Heard is when the target last sent a part of the answer, in nanoseconds
-	// after Arrived; the request's own goroutine sets it.
+	// Heard is when the target last sent a part of the answer, in nanoseconds after Arrived.
+	// The request's own goroutine sets it.
 	Heard atomic.Int64
-	// Pieces is the number of pieces in which the answer was passed on; the request's
-	// own goroutine sets it.
+	// Pieces is the number of pieces in which the answer was forwarded. The request's own
+	// goroutine sets it.
 	Pieces atomic.Int64
-	// Decision receives one decision for each call of Arrive, and of Again
-	// that returned true. It has room for one.
+	// Decision receives one decision for each call of Arrive or Unsent, and of Again that
+	// returned true. Its capacity must be one.
 	Decision chan Decision
 
-	// lost is called where the process that has the request started again.
-	lost  atomic.Pointer[func()]
-	at    *target
-	load  view.Load
-	work  pace.Work
-	begun bool
-	// free is set if the target of a plain service had a free slot when it was sent.
-	free    bool
-	sent    time.Time
-	expires time.Time
+	// lost is called if the process that runs the request turns out to have restarted.
+	lost    atomic.Pointer[func()]
+	target  *target
+	load    view.Load
+	work    pace.Work
+	started bool
+	// foundFreeSlot is set if the target of a plain service had a foundFreeSlot slot when the request
+	// was sent.
+	foundFreeSlot bool
+	sentAt        time.Time
+	expires       time.Time
 }
 
-// Decision says where a request is to be sent, or that it is refused.
+// Decision says which target a request is to be sent to, or that it is refused.
 type Decision struct {
 	Target Target
-	// Refused is empty where there is a target.
+	// Refused is the reason for a refusal; empty if there is a target.
 	Refused Reason
-	// RetryAfter is when a refused caller should come back.
+	// RetryAfter is how long a refused caller should wait before it retries.
 	RetryAfter time.Duration
 	// Waited is the time from arrival to the decision.
 	Waited time.Duration
-	// Unread is the target's unread prompt tokens that decided, this
-	// request's included.
+	// Unread is the target's pending prompt tokens (prefill backlog), including this
+	// request's.
 	Unread int
-	// Miss is the number of the prompt's tokens that the target is expected to
-	// read, the rest being kept there or fetched.
+	// Miss is the number of prompt tokens that the target is expected to read. The rest is
+	// cached there or fetched.
 	Miss int
-	// Source is an engine that keeps more of the prompt than the target, from
-	// which it can fetch some Fetched tokens; without an id if there is none.
+	// Source is an engine that caches more of the prompt than the target, and from which the
+	// target can fetch Fetched tokens; its ID is empty if there is none.
 	Source  Target
 	Fetched int
-	// Lapsed is for how long the target's entry had been gone; 0 if it is listed.
+	// Lapsed is how long ago the target's entry lapsed; 0 if the target is listed.
 	Lapsed time.Duration
 }
 
@@ -83,18 +83,19 @@
 
 // Reasons for refusing a request.
 const (
-	// Full means that all targets have as much as they may.
+	// Full means that no target has room.
 	Full Reason = "queue-full"
-	// OverShare means that the organisation had more than its share while another's
-	// requests wait.
+	// OverShare means that the organisation was served more than its share while requests of
+	// others wait.
 	OverShare Reason = "over-share"
-	// NoTarget means that the service has no target.
+	// NoTarget means that no target of the service takes requests.
 	NoTarget Reason = "no-target"
-	// Drained means that the service has targets in drained availability zones only.
+	// Drained means that no target of the service takes requests and some stand in drained
+	// availability zones.
 	Drained Reason = "zones-drained"
-	// Resting means that all targets that could take the request asked for a rest.
+	// Resting means that all targets that could take the request are backing off.
 	Resting Reason = "targets-resting"
-	// Crowded and Busy are for requests that are refused unread.
+	// Crowded and Busy are reasons for shedding a request before it is parsed.
 	Crowded = Reason(throttle.Crowded)
 	Busy    = Reason(throttle.Busy)
 )
@@ -104,20 +105,20 @@
 
 // The results.
 const (
-	// Answered means that the target answered as it should.
+	// Answered means that the target answered as expected.
 	Answered Result = iota
-	// Refused means that the target said it did not run the request.
+	// Refused means that the target reported not to have run the request.
 	Refused
-	// Unreachable means that no connection came about.
+	// Unreachable means that no connection could be made.
 	Unreachable
-	// Failed means that the target failed, broke off or fell silent.
+	// Failed means that the target failed, broke off its answer or fell silent.
 	Failed
-	// Left means that the caller went away or time ran out; it says nothing
-	// about the target.
+	// Left means that the caller went away or the deadline passed. It says nothing about the
+	// target's health.
 	Left
 )
 
-// tokens returns the cost of a request, a token made counted twice.
+// tokens returns the cost of a request, in which a generated token counts twice.
 func (t *Ticket) tokens() float64 {
 	if !t.Engine {
 		return 0
@@ -127,9 +128,9 @@
 
 func (t *Ticket) offer() throttle.Offer { return throttle.Offer{Input: t.Input, Output: t.Output} }
 
-// private returns the tokens in an engine's memory that the request shares
-// with no other.
-func (t *Ticket) private() int {
+// unsharedTokens returns the number of tokens in an engine's memory that the request shares
+// with no other, its answer included.
+func (t *Ticket) unsharedTokens() int {
 	if !t.Engine {
 		return 0
 	}
@@ -142,8 +143,8 @@
 	return max(own, 0) + t.Output
 }
 
-// affinity returns the name of the prompt's longest part that other prompts
-// share.
+// affinity returns the id of the longest prompt prefix that other prompts share. Requests with
+// the same affinity have the same home.
 func (t *Ticket) affinity() string {
 	switch n := len(t.Parts); n {
 	case 0:
@@ -155,9 +156,9 @@
 	}
 }
 
-func (t *Ticket) patience() time.Duration {
+func (t *Ticket) maxWait() time.Duration {
 	if t.Resumes {
-		return resumeWait
+		return maxResumeWait
 	}
-	return t.Goal / waitShare
+	return t.Goal / goalWaitDivisor
 }
