--- a/internal/balance/advice.go
+++ b/internal/balance/advice.go
@@ -13,7 +13,7 @@
 	if t.target == nil {
 		return false
 	}
-	record, news := s.advice.Leave(now, t.target.incarnation)
+	record, news := s.advice.SetLeaving(now, t.target.incarnation)
 	s.setReported(t.target, record)
 	if news {
 		s.refuseUnservable(now)
@@ -27,8 +27,8 @@
 	if t.target == nil {
 		return false
 	}
-	spread := time.Duration(s.random.Int64N(int64(min(d, advice.RestMost))*backoffJitterPercent/100 + 1))
-	record, news := s.advice.Rest(now, t.target.incarnation, d+spread)
+	spread := time.Duration(s.random.Int64N(int64(min(d, advice.MaxBackoff))*backoffJitterPercent/100 + 1))
+	record, news := s.advice.SetBackoff(now, t.target.incarnation, d+spread)
 	s.setReported(t.target, record)
 	t.target.probe = nil
 	if news {
@@ -64,7 +64,7 @@
 )
 
 // backingOff reports whether the target's backoff is still running.
-func (t *target) backingOff(now time.Time) bool { return now.Before(t.reported.Rest()) }
+func (t *target) backingOff(now time.Time) bool { return now.Before(t.reported.BackoffUntil()) }
 
 // backingOffOrProbed reports whether a target backs off, or has been sent a probe since and
 // not answered it. A target that is still full would otherwise reject all requests that waited
@@ -77,7 +77,7 @@
 func (t *target) endProbe(k *Ticket) {
 	if t.probe == k {
 		t.probe = nil
-		t.reported.EndRest()
+		t.reported.ClearBackoff()
 	}
 }
 
@@ -92,7 +92,7 @@
 		if !to.backingOff(now) {
 			return time.Time{}, false
 		}
-		if end := to.reported.Rest(); first.IsZero() || end.Before(first) {
+		if end := to.reported.BackoffUntil(); first.IsZero() || end.Before(first) {
 			first = end
 		}
 	}
@@ -128,7 +128,7 @@
 	if to.backingOff(now) {
 		s.against.Resting++
 	}
-	if !to.reported.Rest().IsZero() {
+	if !to.reported.BackoffUntil().IsZero() {
 		to.probe = t
 	}
 }
@@ -153,7 +153,7 @@
 	if doubled < 0 {
 		return
 	}
-	record, _ := s.advice.Rest(now, to.incarnation, min(minRefusalBackoff<<min(doubled, 8), maxRefusalBackoff))
+	record, _ := s.advice.SetBackoff(now, to.incarnation, min(minRefusalBackoff<<min(doubled, 8), maxRefusalBackoff))
 	s.setReported(to, record)
 	s.backoffs++
 	s.refuseUnservable(now)
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -154,7 +154,7 @@
 	runningPeers, servingPeers int
 	level                      level
 	budget                     budget
-	throttle                   *throttle.Control
+	throttle                   *throttle.Controller
 	// good, suspect, near and missing are scratch space for choosing a target.
 	good, suspect, near []*target
 	missing             []int
@@ -166,7 +166,7 @@
 	// that.
 	coldAllowance func(now time.Time, target string, r coldstart.Rate) int
 	coldSkips     int64
-	advice        advice.Book
+	advice        advice.Records
 	against       Against
 	// backoffs counts the backoffs that this router started without a target having asked for
 	// one.
@@ -280,7 +280,7 @@
 	t.target = to
 	t.sentAt = now
 	t.foundFreeSlot = !t.Engine && s.loadOf(now, to).Running < to.Slots
-	t.load = view.Load{Unread: p.missTokens, Running: 1, Memory: t.unsharedTokens()}
+	t.load = view.Load{PendingTokens: p.missTokens, Running: 1, Memory: t.unsharedTokens()}
 	t.work = p.work
 	to.localLoad = to.localLoad.Plus(t.load)
 	to.waiting = append(to.waiting, t)
@@ -290,12 +290,12 @@
 	s.noteSent(now, t, to)
 	if t.Engine {
 		s.shares.addServed(now, t.Organisation, t.tokens())
-		s.throttle.Sent(t.Organisation, t.offer())
+		s.throttle.RecordSent(t.Organisation, t.size())
 	}
 	if s.notify != nil && s.notifyLimiter.allow(now, p.missTokens, s.servingPeers+1) {
 		s.notify(to.incarnation, to.localLoad, t.load)
 	}
-	d := Decision{Target: to.Target, Waited: now.Sub(t.Arrived), Unread: s.loadOf(now, to).Unread, Miss: p.missTokens}
+	d := Decision{Target: to.Target, Waited: now.Sub(t.Arrived), Unread: s.loadOf(now, to).PendingTokens, Miss: p.missTokens}
 	if p.source != nil {
 		d.Source, d.Fetched = p.source.Target, p.fetchTokens
 	}
@@ -317,8 +317,8 @@
 	if t.Engine && t.Stream {
 		s.pace(t.Service).Observe(t.work, now.Sub(t.sentAt))
 	}
-	t.target.localLoad.Unread -= t.load.Unread
-	t.load.Unread = 0
+	t.target.localLoad.PendingTokens -= t.load.PendingTokens
+	t.load.PendingTokens = 0
 	t.target.forget(t)
 	s.dispatch(now)
 }
@@ -346,7 +346,7 @@
 		to.learnServiceTime(now.Sub(t.sentAt))
 	}
 	if how == Answered && t.Stream && t.Output > 0 {
-		s.throttle.Learn(int(t.Pieces.Load()), t.Output)
+		s.throttle.ObservePieces(int(t.Pieces.Load()), t.Output)
 	}
 	if how == Refused || how == Unreachable {
 		s.shares.addServed(now, t.Organisation, -t.tokens())
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -360,7 +360,7 @@
 // times its share, and "other" has the given usage.
 func reportOver(other view.Usage) view.Report {
 	return view.Report{Usage: map[string]view.Usage{
-		"large": {Asked: 20 * tokensPerSecond, Begun: 10 * tokensPerSecond}, "heavy": {Asked: 20 * tokensPerSecond}, "other": other,
+		"large": {Demand: 20 * tokensPerSecond, Started: 10 * tokensPerSecond}, "heavy": {Demand: 20 * tokensPerSecond}, "other": other,
 	}}
 }
 
@@ -377,7 +377,7 @@
 		} {
 			w := newWorld(1)
 			w.SetReportPeriod(c.period)
-			w.Heard(w.now, "r", reportOver(view.Usage{Asked: 1, Begun: 1, Waiting: 1}))
+			w.Heard(w.now, "r", reportOver(view.Usage{Demand: 1, Started: 1, Waiting: 1}))
 			w.pass(c.age)
 			Expect(w.arrive(w.prompt("large", "s", 1000)) == nil).To(Equal(c.counts), name)
 		}
@@ -386,7 +386,7 @@
 	It("delay only organisations over their share that were served over 1.4 times as much", func() {
 		for had, waits := range map[float64]bool{8: false, 6: true} {
 			w := newWorld(1)
-			w.Heard(w.now, "r", reportOver(view.Usage{Asked: had * tokensPerSecond, Begun: had * tokensPerSecond, Waiting: 1}))
+			w.Heard(w.now, "r", reportOver(view.Usage{Demand: had * tokensPerSecond, Started: had * tokensPerSecond, Waiting: 1}))
 			// Expired reports are looked for once in 20 ms.
 			w.pass(25 * time.Millisecond)
 			Expect(w.arrive(w.prompt("large", "s", 1000)) == nil).To(Equal(waits), "other organisation was served %g, large 10", had)
@@ -395,7 +395,7 @@
 
 	It("do not delay an organisation within its share", func() {
 		w := newWorld(1)
-		w.Heard(w.now, "r", reportOver(view.Usage{Asked: 1, Begun: 1, Waiting: 1}))
+		w.Heard(w.now, "r", reportOver(view.Usage{Demand: 1, Started: 1, Waiting: 1}))
 		t := w.prompt("small", "s", 1000)
 		Expect(w.arrive(t)).NotTo(BeNil())
 		w.serve(t)
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -72,9 +72,9 @@
 	var lowest time.Duration
 	for i, c := range candidates {
 		p := k.placementAt(c, s.missing[i], own)
-		p.work = pace.Work{Ahead: s.pendingTokens(now, c, model), Own: p.missTokens}
+		p.work = pace.Work{Ahead: s.pendingTokens(now, c, model), Uncached: p.missTokens}
 		p.first = model.Predict(p.work)
-		p.safe = p.first + time.Duration(model.Error()*float64(p.first))
+		p.safe = p.first + time.Duration(model.RelativeError()*float64(p.first))
 		away := c != k.home && p.missTokens+p.fetchTokens > own
 		if over && away || !s.fits(now, c, t) || !r.admits(p, model) {
 			continue
@@ -88,7 +88,7 @@
 
 // cost returns the cost of sending a request to a placement, as a time.
 func (s *State) cost(now time.Time, p placement, home bool, r room, m *pace.Model) time.Duration {
-	cost := p.first + m.Reading(p.missTokens*rereadPercent/100+p.fetchTokens*fetchPercent/100)
+	cost := p.first + m.PrefillTime(p.missTokens*rereadPercent/100+p.fetchTokens*fetchPercent/100)
 	cost += time.Duration(s.loadOf(now, p.target).Running) * slotCost
 	if p.Zone != s.zone {
 		cost += otherZoneCost
@@ -119,7 +119,7 @@
 	k := prefixLocations{home: s.home(t, candidates)}
 	s.missing = s.missing[:0]
 	for _, c := range candidates {
-		missing := c.cache.Missing(now, t.Parts, t.Input)
+		missing := c.cache.UncachedTokens(now, t.Parts, t.Input)
 		s.missing = append(s.missing, missing)
 		if k.best == nil || missing < k.missing {
 			k.best, k.missing = c, missing
@@ -254,7 +254,7 @@
 	var bestWeight uint64
 	hash := rendezvous.Hash(key)
 	for _, c := range targets {
-		if w := rendezvous.WeightOf(hash, c.hash); best == nil || w > bestWeight {
+		if w := rendezvous.WeightFromHashes(hash, c.hash); best == nil || w > bestWeight {
 			best, bestWeight = c, w
 		}
 	}
--- a/internal/balance/loop.go
+++ b/internal/balance/loop.go
@@ -110,8 +110,8 @@
 			now := clock.Now()
 			l.state.Tick(now)
 			l.meter.measure(now, l.state)
-			l.busy.Store(math.Float64bits(l.state.throttle.Busy()))
-			l.coalesce.Store(math.Float64bits(l.state.throttle.Coalesce()))
+			l.busy.Store(math.Float64bits(l.state.throttle.CPUUtilisation()))
+			l.coalesce.Store(math.Float64bits(l.state.throttle.CoalesceLevel()))
 			l.publish(l.state.gatesAt(now))
 		}
 	}
@@ -147,16 +147,16 @@
 
 // Crowded returns why another request of an organisation to engines is to be shed before it is
 // parsed, or "" if it is not. Any goroutine may call it.
-func (l *Loop) Crowded(organisation string, o throttle.Offer) Reason {
+func (l *Loop) Crowded(organisation string, o throttle.RequestSize) Reason {
 	if g := l.gate(organisation); g != nil {
-		return Reason(g.Crowds(o))
+		return Reason(g.Check(o))
 	}
 	return ""
 }
 
 // Admit returns "" if it admits a request of an organisation to engines, or why the request is
 // to be refused. It must be called once a request; any goroutine may call it.
-func (l *Loop) Admit(organisation string, o throttle.Offer) Reason {
+func (l *Loop) Admit(organisation string, o throttle.RequestSize) Reason {
 	if g := l.gate(organisation); g != nil {
 		return Reason(g.Admit(o))
 	}
--- a/internal/balance/peers.go
+++ b/internal/balance/peers.go
@@ -54,29 +54,29 @@
 func (s *State) SetOthers(running, serving int) { s.runningPeers, s.servingPeers = running, serving }
 
 // routers returns the number of routers in the fleet.
-func (s *State) routers() int { return max(s.runningPeers, s.peers.Routers()) + 1 }
+func (s *State) routers() int { return max(s.runningPeers, s.peers.RouterCount()) + 1 }
 
 // SetReportPeriod sets the interval between two reports of a router.
 func (s *State) SetReportPeriod(d time.Duration) { s.peers.SetPeriod(d) }
 
 // Heard applies a report received from another router.
 func (s *State) Heard(now time.Time, router string, r view.Report) {
-	s.peers.Heard(now, router, r)
-	for id, parts := range r.Kept {
+	s.peers.UpdateReport(now, router, r)
+	for id, parts := range r.SharedParts {
 		if t := s.findIncarnation(id); t != nil {
-			t.cache.Heard(now, parts)
+			t.cache.AddRemote(now, parts)
 		}
 	}
 	s.dispatch(now)
 }
 
 // Forget removes everything that another router reported.
-func (s *State) Forget(now time.Time, router string) { s.peers.Forget(now, router) }
+func (s *State) Forget(now time.Time, router string) { s.peers.Remove(now, router) }
 
 // HeardLoad sets the load that another router's requests put on a target. It replaces the one
 // in that router's last report.
 func (s *State) HeardLoad(now time.Time, router, target string, l view.Load) {
-	s.peers.HeardLoad(now, router, target, l)
+	s.peers.UpdateLoad(now, router, target, l)
 }
 
 // AddLoad adds a request's load on a target to that of another router, or to the sum of
@@ -88,21 +88,21 @@
 // Report returns the report to send to the other routers. Of the cached prefixes it has only
 // those that no earlier report had.
 func (s *State) Report(now time.Time) view.Report {
-	r := view.Report{Loads: map[string]view.Load{}, Usage: map[string]view.Usage{}, Kept: map[string][]string{}}
+	r := view.Report{Loads: map[string]view.Load{}, Usage: map[string]view.Usage{}, SharedParts: map[string][]string{}}
 	for _, t := range s.targets {
 		if t.localLoad.Running > 0 {
 			r.Loads[t.incarnation] = t.localLoad
 		}
-		if parts := t.cache.Untold(); len(parts) > 0 {
-			r.Kept[t.incarnation] = parts
+		if parts := t.cache.TakeAnnouncements(); len(parts) > 0 {
+			r.SharedParts[t.incarnation] = parts
 		}
 	}
 	waiting := s.waitingByOrganisation()
 	for name := range s.shares.usages {
 		c := s.shares.usageOf(now, name)
 		if c.demand >= 1 || c.served >= 1 {
-			u := view.Usage{Asked: c.demand, Begun: c.served, Waiting: waiting[name]}
-			u.Waiting += s.throttle.Refused(name)
+			u := view.Usage{Demand: c.demand, Started: c.served, Waiting: waiting[name]}
+			u.Waiting += s.throttle.RejectedLastTick(name)
 			r.Usage[name] = u
 			continue
 		}
--- a/internal/balance/queue.go
+++ b/internal/balance/queue.go
@@ -25,13 +25,13 @@
 	if n < maxWaitingPerOrganisation {
 		return false
 	}
-	s.throttle.Crowded(t.Organisation)
+	s.throttle.RecordQueueFull(t.Organisation)
 	return true
 }
 
 // SetBusy records the fraction of its cores that the router used lately.
 func (s *State) SetBusy(now time.Time, part, cores float64) {
-	s.throttle.SetBusy(now, part, cores, s.accountsAt(now))
+	s.throttle.SetCPUUtilisation(now, part, cores, s.shareStatusAt(now))
 }
 
 // Throttles returns the starts and ends of throttling since the last call, by organisation.
@@ -39,13 +39,13 @@
 
 // gatesAt returns the admission gates that apply until the next tick, by organisation.
 func (s *State) gatesAt(now time.Time) map[string]*throttle.Gate {
-	return s.throttle.Gates(now, s.waitingByOrganisation(), s.accountsAt(now))
+	return s.throttle.Gates(now, s.waitingByOrganisation(), s.shareStatusAt(now))
 }
 
-// accountsAt returns a function that looks up how much an organisation has been served.
-func (s *State) accountsAt(now time.Time) func(organisation string) throttle.Account {
-	return func(organisation string) throttle.Account {
-		return throttle.Account{Had: s.served(now, organisation), Level: s.fairShare(now), Least: s.minServedWaiting(now)}
+// shareStatusAt returns a function that looks up an organisation's share status.
+func (s *State) shareStatusAt(now time.Time) func(organisation string) throttle.ShareStatus {
+	return func(organisation string) throttle.ShareStatus {
+		return throttle.ShareStatus{Served: s.served(now, organisation), FairShare: s.fairShare(now), LeastServedWaiting: s.minServedWaiting(now)}
 	}
 }
 
@@ -81,9 +81,9 @@
 	for name := range s.waitingByOrganisation() {
 		least = min(least, s.served(now, name))
 	}
-	s.peers.Organisations(now, func(name string, u view.Usage) {
+	s.peers.EachOrganisation(now, func(name string, u view.Usage) {
 		if u.Waiting > 0 {
-			least = min(least, (s.shares.usageOf(now, name).served+u.Begun)*remoteLeadFactor)
+			least = min(least, (s.shares.usageOf(now, name).served+u.Started)*remoteLeadFactor)
 		}
 	})
 	return least
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -60,7 +60,7 @@
 	if r.timely && p.safe <= r.remaining {
 		return true
 	}
-	return m.Reading(p.work.Ahead)+min(m.Reading(p.missTokens), r.maxBacklog/2) <= r.maxBacklog
+	return m.PrefillTime(p.work.Ahead)+min(m.PrefillTime(p.missTokens), r.maxBacklog/2) <= r.maxBacklog
 }
 
 // pace returns the model of prefill times of the engines of a service.
@@ -79,11 +79,11 @@
 // divides its time between them in proportion to their tokens.
 func (s *State) pendingTokens(now time.Time, c *target, m *pace.Model) int {
 	load, reportedAt := s.peers.Load(now, c.incarnation)
-	own, others := float64(c.localLoad.Unread), float64(load.Unread)
+	own, others := float64(c.localLoad.PendingTokens), float64(load.PendingTokens)
 	if own+others <= 0 {
 		return 0
 	}
-	perSecond := float64(time.Second) / float64(m.Reading(1))
+	perSecond := float64(time.Second) / float64(m.PrefillTime(1))
 	ownShare := own / (own + others)
 	if len(c.waiting) > 0 {
 		first := c.waiting[0]
@@ -92,7 +92,7 @@
 			since = c.lastProgress
 		}
 		read := now.Sub(since).Seconds() * perSecond * ownShare
-		own -= min(read, float64(first.load.Unread))
+		own -= min(read, float64(first.load.PendingTokens))
 	}
 	others -= min(now.Sub(reportedAt).Seconds()*perSecond*(1-ownShare), others)
 	return int(own + others)
--- a/internal/balance/shares.go
+++ b/internal/balance/shares.go
@@ -35,7 +35,7 @@
 	if d <= 0 {
 		return
 	}
-	f := view.Decay(d, window)
+	f := view.DecayFactor(d, window)
 	c.demand *= f
 	c.served *= f
 	c.updated = now
@@ -62,7 +62,7 @@
 
 // served returns the tokens that an organisation was served by all routers.
 func (s *State) served(now time.Time, organisation string) float64 {
-	return s.shares.usageOf(now, organisation).served + s.peers.Usage(now, organisation).Begun
+	return s.shares.usageOf(now, organisation).served + s.peers.Usage(now, organisation).Started
 }
 
 // shareRatio returns what an organisation was served, relative to its max-min fair share of
@@ -96,11 +96,11 @@
 	}
 	var demands []float64
 	for name := range s.shares.usages {
-		demands = append(demands, s.shares.usageOf(now, name).demand+s.peers.Usage(now, name).Asked)
+		demands = append(demands, s.shares.usageOf(now, name).demand+s.peers.Usage(now, name).Demand)
 	}
-	s.peers.Organisations(now, func(name string, u view.Usage) {
+	s.peers.EachOrganisation(now, func(name string, u view.Usage) {
 		if s.shares.usages[name] == nil {
-			demands = append(demands, u.Asked)
+			demands = append(demands, u.Demand)
 		}
 	})
 	// A constant rate decays to rate times the time constant.
--- a/internal/balance/ticket.go
+++ b/internal/balance/ticket.go
@@ -96,8 +96,8 @@
 	// Resting means that all targets that could take the request are backing off.
 	Resting Reason = "targets-resting"
 	// Crowded and Busy are reasons for shedding a request before it is parsed.
-	Crowded = Reason(throttle.Crowded)
-	Busy    = Reason(throttle.Busy)
+	Crowded = Reason(throttle.QueueFull)
+	Busy    = Reason(throttle.RouterBusy)
 )
 
 // Result is how an exchange with a target ended.
@@ -123,10 +123,12 @@
 	if !t.Engine {
 		return 0
 	}
-	return t.offer().Tokens()
+	return t.size().Tokens()
 }
 
-func (t *Ticket) offer() throttle.Offer { return throttle.Offer{Input: t.Input, Output: t.Output} }
+func (t *Ticket) size() throttle.RequestSize {
+	return throttle.RequestSize{Input: t.Input, Output: t.Output}
+}
 
 // unsharedTokens returns the number of tokens in an engine's memory that the request shares
 // with no other, its answer included.
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,5 +1,6 @@
-// Package ledger holds what callers asked for and what the stand-ins served.
-// The gap and the other measures come from it, never from routers' counters.
+// Package ledger records, in a load test, what callers requested and what the stand-in
+// targets served. The fairness gap and the other measures are computed from it, and never
+// from the routers' own counters.
 package ledger
 
 import (
@@ -11,28 +12,28 @@
 	"github.com/stepcroft/stepcroft/internal/scenario"
 )
 
-// SampleTime is how often the ledger is read.
+// SampleTime is the interval between two calls of Sample.
 const SampleTime = 20 * time.Millisecond
 
-// Ledger is the books of one run. Use New to make one; it is safe for use by
-// many goroutines.
+// Ledger holds the requests and accounts of one load test. Use New to make one. It is safe
+// for concurrent use.
 type Ledger struct {
-	mu       sync.Mutex
-	requests map[string]*entry
-	pools    map[string]*poolLedger
-	largest  float64
+	mu          sync.Mutex
+	requests    map[string]*entry
+	pools       map[string]*poolLedger
+	largestCost float64
 }
 
 // entry is one request.
 type entry struct {
 	pool    *poolLedger
 	account *account
-	// began counts how often a target started it.
-	began   int
-	cost    float64
-	waiting bool
-	repeat  bool
-	// notRun is set where its caller was told that it did not run.
+	// starts is the number of times that a target started the request.
+	starts     int
+	cost       float64
+	waiting    bool
+	repeatable bool
+	// notRun is set if the caller was told that the request did not run.
 	notRun bool
 }
 
@@ -41,30 +42,35 @@
 	running  int
 	waiting  int
 	accounts map[string]*account
-	// starved is set if nothing waited at some moment since the last sample.
-	starved bool
+	// queueEmptied is set if there was a moment since the last sample when no request waited.
+	queueEmptied bool
+	// samples is the number of samples taken.
 	samples int
-	busy    float64
-	idle    float64
+	// busySum and idleSum add up, over all samples, the fraction of the slots that were busy
+	// and the fraction that were idle while requests waited.
+	busySum float64
+	idleSum float64
 }
 
-// account is an organisation's in one pool.
+// account holds the totals of one organisation in one pool.
 type account struct {
 	weight  float64
 	served  float64
 	waiting int
-	// emptied is set if nothing waited at some moment since the last sample.
-	emptied bool
-	series  []point
+	// queueEmptied is set if there was a moment since the last sample when none of the
+	// organisation's requests waited.
+	queueEmptied bool
+	series       []point
 }
 
-// point is one sample of an account.
+// point is one sample of an account: the cost served so far, and whether the organisation
+// had a request waiting at all times since the previous sample.
 type point struct {
 	served     float64
 	backlogged bool
 }
 
-// New returns empty books for a scenario.
+// New returns a ledger with an empty account for each organisation in each pool it uses.
 func New(s *scenario.Scenario) *Ledger {
 	l := &Ledger{requests: map[string]*entry{}, pools: map[string]*poolLedger{}}
 	for _, p := range s.Pools {
@@ -73,18 +79,18 @@
 	for _, o := range s.Organisations {
 		for _, q := range o.Requests {
 			if p := l.pools[q.Pool]; p != nil {
-				p.accounts[o.Name] = &account{weight: o.EffectiveWeight(), emptied: true}
+				p.accounts[o.Name] = &account{weight: o.EffectiveWeight(), queueEmptied: true}
 			}
 		}
 	}
 	return l
 }
 
-// Submitted notes that a caller sends a request.
+// Submitted records that a caller sends a request.
 func (l *Ledger) Submitted(a scenario.Arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := &entry{repeat: !a.Requests.NotRepeatable}
+	e := &entry{repeatable: !a.Requests.NotRepeatable}
 	l.requests[a.Tag] = e
 	if p := l.pools[a.Requests.Pool]; p != nil {
 		e.pool, e.account, e.waiting = p, p.accounts[a.Organisation], true
@@ -93,7 +99,7 @@
 	}
 }
 
-// stopWaiting notes that a request runs, or was answered without.
+// stopWaiting records that a request has started to run, or was answered without running.
 func (e *entry) stopWaiting() {
 	if !e.waiting {
 		return
@@ -102,14 +108,14 @@
 	e.pool.waiting--
 	e.account.waiting--
 	if e.pool.waiting == 0 {
-		e.pool.starved = true
+		e.pool.queueEmptied = true
 	}
 	if e.account.waiting == 0 {
-		e.account.emptied = true
+		e.account.queueEmptied = true
 	}
 }
 
-// Answered notes that a caller has its answer, and whether that said that the
+// Answered records that a caller has its answer. notRun is set if the answer says that the
 // request did not run.
 func (l *Ledger) Answered(tag string, notRun bool) {
 	l.mu.Lock()
@@ -119,14 +125,14 @@
 	e.stopWaiting()
 }
 
-// NotRunButRan returns the number of requests whose callers were told that
-// they did not run, and that were started, before or after.
+// NotRunButRan returns the number of requests that a target started, before or after their
+// callers were told that they did not run.
 func (l *Ledger) NotRunButRan() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
 	for _, e := range l.requests {
-		if e.notRun && e.began > 0 {
+		if e.notRun && e.starts > 0 {
 			n++
 		}
 	}
@@ -141,7 +147,7 @@
 	if e == nil {
 		return
 	}
-	e.began++
+	e.starts++
 	e.stopWaiting()
 	if e.pool != nil {
 		e.pool.running++
@@ -167,7 +173,7 @@
 	}
 	e.account.served += cost
 	e.cost += cost
-	l.largest = max(l.largest, e.cost)
+	l.largestCost = max(l.largestCost, e.cost)
 }
 
 // Ended implements standin.Observer.
@@ -179,59 +185,58 @@
 	}
 }
 
-// Doubled returns the number of requests that may not be repeated and were
-// started more than once.
+// Doubled returns the number of requests that must not be repeated but were started more
+// than once.
 func (l *Ledger) Doubled() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
 	for _, e := range l.requests {
-		if !e.repeat && e.began > 1 {
+		if !e.repeatable && e.starts > 1 {
 			n++
 		}
 	}
 	return n
 }
 
-// Sample reads all accounts once.
+// Sample appends a sample to each account. Call it every SampleTime.
 func (l *Ledger) Sample() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range l.pools {
 		p.samples++
 		busy := float64(min(p.running, p.slots)) / float64(p.slots)
-		p.busy += busy
-		if p.waiting > 0 && !p.starved {
-			p.idle += 1 - busy
+		p.busySum += busy
+		if p.waiting > 0 && !p.queueEmptied {
+			p.idleSum += 1 - busy
 		}
-		p.starved = p.waiting == 0
+		p.queueEmptied = p.waiting == 0
 		for _, a := range p.accounts {
-			a.series = append(a.series, point{a.served, a.waiting > 0 && !a.emptied})
-			a.emptied = a.waiting == 0
+			a.series = append(a.series, point{a.served, a.waiting > 0 && !a.queueEmptied})
+			a.queueEmptied = a.waiting == 0
 		}
 	}
 }
 
-// Gap is a difference in weighted service between two organisations of a
-// pool over a time in which both were backlogged throughout.
+// Gap is how far one organisation of a pool got ahead of another in served cost per weight,
+// during a period in which both had requests waiting throughout.
 type Gap struct {
 	// Size is in units of the largest request cost.
 	Size float64 `json:"size"`
 	Pool string  `json:"pool"`
-	// Ahead and Behind are the organisations.
+	// Ahead and Behind are the organisation that gained and the one that lost.
 	Ahead  string `json:"ahead"`
 	Behind string `json:"behind"`
-	// From and To are seconds since the start.
+	// From and To are the ends of the period, in seconds since the start.
 	From float64 `json:"from"`
 	To   float64 `json:"to"`
 }
 
-// GapSeriesStep is the time between two entries of a series of gaps, in
-// seconds.
+// GapSeriesStep is the time between two entries of a series of gaps, in seconds.
 const GapSeriesStep = 0.5
 
-// Gaps returns the largest gap over all pairs and times, and the largest
-// open in each step of time.
+// Gaps returns the largest gap over all pairs of organisations and all periods, and a series
+// with the largest gap of any pair in each step of GapSeriesStep.
 func (l *Ledger) Gaps() (Gap, []float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -242,21 +247,21 @@
 		for i, a := range names {
 			for _, b := range names[:i] {
 				g := pairGap(p.accounts[a], p.accounts[b], func(sample int, size float64) {
-					series = raise(series, sample, size/max(l.largest, 1))
+					series = raiseStep(series, sample, size/max(l.largestCost, 1))
 				})
 				if g.Size > worst.Size {
-					worst = g.between(pool, a, b)
+					worst = g.withOrganisations(pool, a, b)
 				}
 			}
 		}
 	}
-	worst.Size /= max(l.largest, 1)
+	worst.Size /= max(l.largestCost, 1)
 	return worst, series
 }
 
-// raise makes the entry of a series that a sample falls into at least size.
-func raise(series []float64, sample int, size float64) []float64 {
-	i := int(seconds(sample) / GapSeriesStep)
+// raiseStep raises the entry of a series that covers a sample to size, if it is lower.
+func raiseStep(series []float64, sample int, size float64) []float64 {
+	i := int(secondsAt(sample) / GapSeriesStep)
 	for len(series) <= i {
 		series = append(series, 0)
 	}
@@ -264,7 +269,9 @@
 	return series
 }
 
-func (g Gap) between(pool, a, b string) Gap {
+// withOrganisations returns the gap that pairGap found between a and b with the names filled
+// in. If a's lead shrank, b is the one ahead and the ends of the period are swapped.
+func (g Gap) withOrganisations(pool, a, b string) Gap {
 	g.Pool, g.Ahead, g.Behind = pool, a, b
 	if g.From > g.To {
 		g.From, g.To, g.Ahead, g.Behind = g.To, g.From, b, a
@@ -272,17 +279,17 @@
 	return g
 }
 
-// pairGap returns the largest change of a's lead over b. From is when the
-// lead was least and To when it was most, in whichever order they came. Each
-// is called with every sample and the gap at it.
-func pairGap(a, b *account, each func(sample int, size float64)) Gap {
+// pairGap returns the largest change of a's lead over b while both had requests waiting.
+// From is when the lead was smallest and To when it was largest, whichever came first. visit
+// is called for every sample with the gap reached by then.
+func pairGap(a, b *account, visit func(sample int, size float64)) Gap {
 	var worst Gap
 	var low, high float64
 	lowAt, highAt := -1, -1
 	for i := range a.series {
 		if !a.series[i].backlogged || !b.series[i].backlogged {
 			lowAt, highAt = -1, -1
-			each(i, 0)
+			visit(i, 0)
 			continue
 		}
 		d := a.series[i].served/a.weight - b.series[i].served/b.weight
@@ -292,32 +299,33 @@
 		if highAt < 0 || d > high {
 			high, highAt = d, i
 		}
-		each(i, high-low)
+		visit(i, high-low)
 		if high-low > worst.Size {
-			worst = Gap{Size: high - low, From: seconds(lowAt), To: seconds(highAt)}
+			worst = Gap{Size: high - low, From: secondsAt(lowAt), To: secondsAt(highAt)}
 		}
 	}
 	return worst
 }
 
-func seconds(samples int) float64 { return float64(samples) * SampleTime.Seconds() }
+// secondsAt returns the time of a sample, in seconds since the start.
+func secondsAt(sample int) float64 { return float64(sample) * SampleTime.Seconds() }
 
-// Use returns, over all slots, the part of the time that they were busy, and
-// the part that they were idle while work waited.
+// Use returns the fraction of the time, over all slots, that they were busy, and the fraction
+// that they were idle while requests waited.
 func (l *Ledger) Use() (busy, idle float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	slots := 0
 	for _, p := range l.pools {
 		n := float64(p.slots) / float64(max(p.samples, 1))
-		busy += p.busy * n
-		idle += p.idle * n
+		busy += p.busySum * n
+		idle += p.idleSum * n
 		slots += p.slots
 	}
 	return busy / float64(slots), idle / float64(slots)
 }
 
-// Service returns what each organisation was served over all pools.
+// Service returns the cost served to each organisation, over all pools.
 func (l *Ledger) Service() map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
