--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -63,7 +63,7 @@
 	now := time.Unix(1000, 0)
 	snapshot := config.Snapshot{}.WithAll(objects, func(_ port.Object, err error) { b.Fatal(err) })
 	s := control.New(control.Options{
-		Self: member.Member{ID: "r0", Zone: "0", Peer: "r0", Incarnation: 1}, Period: time.Second, Timeout: time.Hour, MaxWaiting: 1 << 20,
+		Self: member.Member{ID: "r0", Zone: "0", Peer: "r0", Incarnation: 1}, ReportPeriod: time.Second, RouterTimeout: time.Hour, MaxWaiting: 1 << 20,
 	}, discard{}, rand.New(rand.NewPCG(1, 1)), now)
 	s.Configure(snapshot.WithRevision(1), now)
 	for i := 1; i < z.routers; i++ {
@@ -74,8 +74,8 @@
 			s.Arrive(ticket(i, n, now), now)
 		}
 	}
-	for _, box := range s.Owned() {
-		s.Loaded(box.Name, port.EngineLoad{}, now)
+	for _, box := range s.OwnedEngines() {
+		s.RecordLoad(box.Name, port.EngineLoad{}, now)
 	}
 	return s, now
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -32,10 +32,11 @@
 // Options are the fixed parameters of a State.
 type Options struct {
 	Self member.Member
-	// Period is the time between two reports.
-	Period time.Duration
-	// Timeout is the time without a message after which a router counts as dead.
-	Timeout time.Duration
+	// ReportPeriod is the time between two reports.
+	ReportPeriod time.Duration
+	// RouterTimeout is the time without a message after which a router counts as
+	// dead.
+	RouterTimeout time.Duration
 	// MaxWaiting bounds the requests queued at this router.
 	MaxWaiting int
 	// ViewDelay delays the use of reports received, for experiments.
@@ -109,7 +110,7 @@
 		options:         o,
 		random:          r,
 		outlet:          outlet,
-		members:         member.New(o.Self, o.Timeout, now),
+		members:         member.New(o.Self, o.RouterTimeout, now),
 		view:            fleetview.New(r),
 		slots:           place.New(uint64(r.Uint32()) << 24),
 		pools:           map[string]*pool{},
@@ -260,17 +261,17 @@
 	return p
 }
 
-// Loaded records the load that an engine reported.
-func (s *State) Loaded(engine string, load port.EngineLoad, now time.Time) {
+// RecordLoad records the load that an engine reported.
+func (s *State) RecordLoad(engine string, load port.EngineLoad, now time.Time) {
 	s.slots.RecordLoad(engine, load, now)
 	s.dispatchAll(now)
 }
 
-// Unreachable records that an engine did not answer.
-func (s *State) Unreachable(engine string) { s.slots.MarkUnreachable(engine) }
+// MarkUnreachable records that an engine did not answer.
+func (s *State) MarkUnreachable(engine string) { s.slots.MarkUnreachable(engine) }
 
-// Owned returns the boxes of the engines that this router owns.
-func (s *State) Owned() []config.Box { return s.slots.Owned() }
+// OwnedEngines returns the boxes of the engines that this router owns.
+func (s *State) OwnedEngines() []config.Box { return s.slots.Owned() }
 
 // Leave starts a planned shutdown: this router hands its engines over to others
 // and its address is no longer given to callers, but it still serves callers
@@ -278,7 +279,7 @@
 func (s *State) Leave(now time.Time) {
 	s.leaving = true
 	s.members.MarkLeaving()
-	s.Report(now)
+	s.SendReport(now)
 	s.updateOwners(now)
 	s.reportForeign(now)
 }
@@ -290,9 +291,9 @@
 // Idle reports whether no request waits or runs.
 func (s *State) Idle() bool { return s.waiting == 0 && len(s.running) == 0 }
 
-// Members returns the routers whose addresses callers may be given: those alive
+// LiveRouters returns the routers whose addresses callers may be given: those alive
 // and not leaving, this router included.
-func (s *State) Members(now time.Time) []member.Member { return s.members.Live(now) }
+func (s *State) LiveRouters(now time.Time) []member.Member { return s.members.Live(now) }
 
 // Lookup returns another router by its ID, if it is alive.
 func (s *State) Lookup(id message.RouterID, now time.Time) (member.Member, bool) {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -110,7 +110,7 @@
 func (f *fleet) start(id message.RouterID, seed uint64) {
 	f.number++
 	f.members[id] = member.Member{ID: id, Address: string(id), Peer: string(id), Incarnation: f.number}
-	s := control.New(control.Options{Self: f.members[id], Period: period, Timeout: 3 * period, MaxWaiting: 1000},
+	s := control.New(control.Options{Self: f.members[id], ReportPeriod: period, RouterTimeout: 3 * period, MaxWaiting: 1000},
 		outlet{f, id}, rand.New(rand.NewPCG(seed, f.number)), f.now)
 	f.states[id] = s
 	s.Configure(f.snapshot, f.now)
@@ -139,8 +139,8 @@
 		if s == nil {
 			continue
 		}
-		for _, box := range s.Owned() {
-			s.Loaded(box.Name, port.EngineLoad{Running: f.running(box.Name)}, f.now)
+		for _, box := range s.OwnedEngines() {
+			s.RecordLoad(box.Name, port.EngineLoad{Running: f.running(box.Name)}, f.now)
 		}
 		s.Tick(f.now)
 	}
@@ -268,7 +268,7 @@
 		t := f.arrive(0, organisation)
 		Expect(f.decided[t]).To(HaveLen(1))
 		f.now = f.now.Add(took)
-		f.states["r0"].Loaded("e0", port.EngineLoad{}, f.now)
+		f.states["r0"].RecordLoad("e0", port.EngineLoad{}, f.now)
 		f.states["r0"].Finish(t, end, f.now)
 		delete(f.decided, t)
 	}
@@ -322,7 +322,7 @@
 var _ = Describe("Two routers", func() {
 	// other returns the index of the router that owns no engine.
 	other := func(f *fleet) int {
-		if len(f.states["r0"].Owned()) == 0 {
+		if len(f.states["r0"].OwnedEngines()) == 0 {
 			return 0
 		}
 		return 1
--- a/internal/control/counts.go
+++ b/internal/control/counts.go
@@ -4,8 +4,9 @@
 
 // Counts are totals since the router's start.
 type Counts struct {
-	// Local is the number of requests dispatched to engines that this router owns.
-	Local int64 `json:"local"`
+	// LocalDispatches is the number of requests dispatched to engines that this
+	// router owns.
+	LocalDispatches int64 `json:"local"`
 	// Granted is the number of slots granted to other routers.
 	Granted int64 `json:"granted"`
 	// GrantsDeclined is the number of slots that other routers declined.
@@ -18,11 +19,11 @@
 	// TooLate is the number of requests refused because they were not expected
 	// to end before their deadline.
 	TooLate int64 `json:"too_late"`
-	// Asked is the number of messages that asked another router for a slot.
-	Asked int64 `json:"asked"`
-	// Announced is the number of messages sent between reports that announced
-	// free slots to another router.
-	Announced int64 `json:"announced"`
+	// AsksSent is the number of messages that asked another router for a slot.
+	AsksSent int64 `json:"asked"`
+	// AnnouncementsSent is the number of messages sent between reports that
+	// announced free slots to another router.
+	AnnouncementsSent int64 `json:"announced"`
 	// LostSlots is the number of slots that an owner's audit asked about and
 	// that this router did not hold.
 	LostSlots int64 `json:"lost_slots"`
@@ -36,27 +37,27 @@
 // Status is a snapshot of the state for metrics and operators.
 type Status struct {
 	Counts
-	Waiting  int           `json:"waiting"`
-	Running  int           `json:"running"`
-	Engines  int           `json:"engines"`
-	Used     int           `json:"used"`
-	Routers  int           `json:"routers"`
-	ViewAge  time.Duration `json:"view_age_ns"`
-	Revision uint64        `json:"revision"`
-	Leaving  bool          `json:"leaving"`
+	Waiting      int           `json:"waiting"`
+	Running      int           `json:"running"`
+	OwnedEngines int           `json:"engines"`
+	UsedSlots    int           `json:"used"`
+	Routers      int           `json:"routers"`
+	ViewAge      time.Duration `json:"view_age_ns"`
+	Revision     uint64        `json:"revision"`
+	Leaving      bool          `json:"leaving"`
 }
 
 // Status returns a snapshot of the state.
 func (s *State) Status(now time.Time) Status {
 	return Status{
-		Counts:   s.counts,
-		Waiting:  s.waiting,
-		Running:  len(s.running),
-		Engines:  len(s.slots.Owned()),
-		Used:     s.slots.InUse(),
-		Routers:  len(s.members.Live(now)),
-		ViewAge:  s.view.Age(now),
-		Revision: s.snapshot.Revision,
-		Leaving:  s.leaving,
+		Counts:       s.counts,
+		Waiting:      s.waiting,
+		Running:      len(s.running),
+		OwnedEngines: len(s.slots.Owned()),
+		UsedSlots:    s.slots.InUse(),
+		Routers:      len(s.members.Live(now)),
+		ViewAge:      s.view.Age(now),
+		Revision:     s.snapshot.Revision,
+		Leaving:      s.leaving,
 	}
 }
--- a/internal/control/dispatch.go
+++ b/internal/control/dispatch.go
@@ -57,7 +57,7 @@
 		if i == maxIdleRecipients {
 			return
 		}
-		s.counts.Announced++
+		s.counts.AnnouncementsSent++
 		s.outlet.Send(others[n], message.Idle{Pool: p.name, Free: free})
 	}
 }
@@ -199,7 +199,7 @@
 		return
 	}
 	p.charge(organisation, u.Charged)
-	s.counts.Local++
+	s.counts.LocalDispatches++
 	s.start(p, t, &activeRequest{owner: s.members.Self(), use: u})
 }
 
@@ -347,7 +347,7 @@
 		return
 	}
 	if to, ok := s.members.Lookup(id); ok {
-		s.counts.Asked++
+		s.counts.AsksSent++
 		s.outlet.Send(to, message.Ask{
 			Pool:         p.name,
 			Organisation: organisation,
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -41,7 +41,7 @@
 	case message.Idle:
 		s.handleIdle(from, m)
 	case message.Held:
-		s.slots.SetForeign(m.Engine, from.ID, m.Foreign, now, s.options.Timeout)
+		s.slots.SetForeign(m.Engine, from.ID, m.Foreign, now, s.options.RouterTimeout)
 	}
 }
 
@@ -124,7 +124,7 @@
 		s.slots.Charge(name, p.throughput.perSecond(), now, p.charge)
 		s.updatePolicy(p, now)
 	}
-	s.Report(now)
+	s.SendReport(now)
 	s.dispatchAll(now)
 }
 
@@ -236,7 +236,7 @@
 
 func (s *State) sendForeign(key foreignKey, n int, now time.Time) {
 	if key.owner == s.members.Self().ID {
-		s.slots.SetForeign(key.engine, key.owner, n, now, s.options.Timeout)
+		s.slots.SetForeign(key.engine, key.owner, n, now, s.options.RouterTimeout)
 		return
 	}
 	if to, ok := s.members.Lookup(key.owner); ok {
@@ -272,18 +272,18 @@
 		st.Organisation, st.Weight = name, o.Weight
 		list = append(list, st)
 	}
-	p.policy.Observe(fair.View{Organisations: list, Age: float64(s.view.Age(now)) / float64(s.options.Period)})
+	p.policy.Observe(fair.View{Organisations: list, Age: float64(s.view.Age(now)) / float64(s.options.ReportPeriod)})
 }
 
 // backlogged reports whether the first request in an organisation's queue at
 // this router has waited for at least a report period.
 func (s *State) backlogged(p *pool, organisation string, now time.Time) bool {
 	first, ok := p.queue.Peek(organisation)
-	return ok && now.Sub(first.Arrived()) >= s.options.Period
+	return ok && now.Sub(first.Arrived()) >= s.options.ReportPeriod
 }
 
-// Report sends this router's report to all other routers.
-func (s *State) Report(now time.Time) {
+// SendReport sends this router's report to all other routers.
+func (s *State) SendReport(now time.Time) {
 	s.sequence++
 	r := message.Report{
 		Incarnation: s.members.Self().Incarnation,
--- a/internal/load/fleet.go
+++ b/internal/load/fleet.go
@@ -176,7 +176,7 @@
 func (f *fleet) owned() int {
 	n := 0
 	for _, r := range f.routers {
-		n += r.Status().Engines
+		n += r.Status().OwnedEngines
 	}
 	return n
 }
--- a/internal/load/traffic.go
+++ b/internal/load/traffic.go
@@ -32,10 +32,10 @@
 		one := routerTraffic{name: string(r.Self().ID)}
 		if !f.stopped[i] {
 			peers, status := r.PeerStats(), r.Status()
-			one.engines = status.Engines
+			one.engines = status.OwnedEngines
 			one.bytes, one.messages = peers.Bytes, peers.Messages
 			one.granted, one.declined = status.Granted, status.GrantsDeclined
-			one.local, one.substituted = status.Local, status.Substituted
+			one.local, one.substituted = status.LocalDispatches, status.Substituted
 		}
 		t.routers = append(t.routers, one)
 	}
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -101,7 +101,7 @@
 
 func (c core) Members() []member.Member {
 	var list []member.Member
-	c.router.loop.call(func(s *control.State, now time.Time) { list = s.Members(now) })
+	c.router.loop.call(func(s *control.State, now time.Time) { list = s.LiveRouters(now) })
 	return list
 }
 
--- a/internal/router/poll.go
+++ b/internal/router/poll.go
@@ -38,7 +38,7 @@
 // due returns the owned engines whose turn it is, and forgets the others.
 func (r *Router) due(asked map[string]time.Time) []config.Box {
 	var owned, due []config.Box
-	r.loop.call(func(s *control.State, _ time.Time) { owned = s.Owned() })
+	r.loop.call(func(s *control.State, _ time.Time) { owned = s.OwnedEngines() })
 	now := clock.Now()
 	keep := map[string]bool{}
 	for _, box := range owned {
@@ -62,9 +62,9 @@
 	load, err := r.engines.Load(ctx, box.Address)
 	r.loop.do(func(s *control.State, now time.Time) {
 		if err != nil {
-			s.Unreachable(box.Name)
+			s.MarkUnreachable(box.Name)
 			return
 		}
-		s.Loaded(box.Name, load, now)
+		s.RecordLoad(box.Name, load, now)
 	})
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -170,7 +170,7 @@
 	})
 	r.peers = peer.New(context.Background(), r.self, listener, r.receive, o.Log)
 	state := control.New(control.Options{
-		Self: r.self, Period: o.ReportPeriod, Timeout: o.Timeout, MaxWaiting: o.MaxWaiting, ViewDelay: o.ViewDelay, Policy: o.Policy,
+		Self: r.self, ReportPeriod: o.ReportPeriod, RouterTimeout: o.Timeout, MaxWaiting: o.MaxWaiting, ViewDelay: o.ViewDelay, Policy: o.Policy,
 	}, outlet{r.peers}, random, clock.Now())
 	r.handler = httpcaller.New(httpcaller.Options{
 		Core: core{r}, Self: r.self, Engine: r.engines, Service: r.engines,
