--- a/internal/forward/advice.go
+++ b/internal/forward/advice.go
@@ -19,11 +19,11 @@
 const (
 	// AdviceLeaving means that the target is leaving: it shuts down in a planned way.
 	AdviceLeaving Advice = "leaving"
-	// AdviceRest means that the target asked this router to back off (503 with
+	// AdviceBackoff means that the target asked this router to back off (503 with
 	// Retry-After). AdviceRestBounded means that the requested backoff exceeded
 	// advice.RestMost and was capped.
-	AdviceRest        Advice = "rest"
-	AdviceRestBounded Advice = "rest-bounded"
+	AdviceBackoff       Advice = "rest"
+	AdviceBackoffCapped Advice = "rest-bounded"
 )
 
 // readAdvice handles what a target reports about itself in the head of an answer, even if the
@@ -46,7 +46,7 @@
 	x.loop.Post(func(s *balance.State, now time.Time) {
 		if s.Leaves(now, t) {
 			x.log.Info("target says that it leaves", "target", to.ID, "born", to.Born, "id", x.ID)
-			x.counts.Advised(AdviceLeaving)
+			x.counts.CountAdvice(AdviceLeaving)
 		}
 	})
 }
@@ -62,9 +62,9 @@
 			return
 		}
 		x.log.Info("target asks for a rest", "target", to.ID, "rest_ms", d.Milliseconds(), "id", x.ID)
-		x.counts.Advised(AdviceRest)
+		x.counts.CountAdvice(AdviceBackoff)
 		if d > advice.MaxBackoff {
-			x.counts.Advised(AdviceRestBounded)
+			x.counts.CountAdvice(AdviceBackoffCapped)
 		}
 	})
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -27,18 +27,18 @@
 	loop     *balance.Loop
 	suspects Suspects
 	log      logr.Logger
-	counts   Counts
+	counts   Counters
 }
 
-// Counts counts retries by reason, and what targets report about themselves.
-type Counts interface {
-	Retried(r Reason)
-	// Advised counts a report of a target that changes what was known about it.
-	Advised(a Advice)
+// Counters counts retries by reason, and what targets report about themselves.
+type Counters interface {
+	CountRetry(r Reason)
+	// CountAdvice counts a report of a target that changes what was known about it.
+	CountAdvice(a Advice)
 }
 
 // New returns a forwarder that sends requests with s to the targets that l chooses.
-func New(d Dialect, s Sender, l *balance.Loop, q Suspects, log logr.Logger, c Counts) *Forwarder {
+func New(d Dialect, s Sender, l *balance.Loop, q Suspects, log logr.Logger, c Counters) *Forwarder {
 	return &Forwarder{dialect: d, sender: s, loop: l, suspects: q, log: log, counts: c}
 }
 
@@ -110,7 +110,7 @@
 	}
 	x.sendUntilDone(timed)
 	if x.onTrial {
-		x.suspects.Tried(x.key())
+		x.suspects.EndTrial(x.key())
 	}
 	return x.verdict
 }
@@ -247,7 +247,7 @@
 		return false
 	}
 	if x.mayRetry(f) && x.retry(ctx, to) {
-		x.counts.Retried(f.reason)
+		x.counts.CountRetry(f.reason)
 		x.logFailure("sent again", to, f)
 		return true
 	}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -34,22 +34,22 @@
 	return nil, errors.Wrap(httptarget.ErrBroken, "test")
 }
 
-func (brokenSender) Ended(context.Context, string, string) bool { return false }
+func (brokenSender) ProcessExited(context.Context, string, string) bool { return false }
 
 // noSuspects implements forward.Suspects and suspects no request.
 type noSuspects struct{ forward.Suspects }
 
-func (noSuspects) View() *quarantine.View                   { return nil }
-func (noSuspects) Ended(balance.Target)                     {}
-func (noSuspects) Broke(context.Context, forward.Break) int { return 0 }
+func (noSuspects) View() *quarantine.View                         { return nil }
+func (noSuspects) RecordExit(balance.Target)                      {}
+func (noSuspects) RecordBreak(context.Context, forward.Break) int { return 0 }
 
-// discard implements forward.Caller and forward.Counts and discards everything.
+// discard implements forward.Caller and forward.Counters and discards everything.
 type discard struct{}
 
 func (discard) Head(int, http.Header, int64) {}
 func (discard) Write([]byte) error           { return nil }
-func (discard) Retried(forward.Reason)       {}
-func (discard) Advised(forward.Advice)       {}
+func (discard) CountRetry(forward.Reason)    {}
+func (discard) CountAdvice(forward.Advice)   {}
 
 var _ = Describe("Forward", func() {
 	It("releases the load of a request whose caller disconnects while another target is chosen", func() {
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -87,8 +87,8 @@
 // Sender sends requests to targets and receives their answers.
 type Sender interface {
 	Send(ctx context.Context, address string, r httptarget.Request) (*httptarget.Answer, error)
-	// Ended reports whether the process of a target has exited.
-	Ended(ctx context.Context, address, instance string) bool
+	// ProcessExited reports whether the process of a target has exited.
+	ProcessExited(ctx context.Context, address, instance string) bool
 }
 
 // Verdict is how a request ended, with what is needed to answer its caller and to log it.
@@ -112,8 +112,8 @@
 	// Target is the id of the last target that was chosen.
 	Target string
 	// Unread is the number of prompt tokens that the target still had to process when it
-	// was chosen (its prefill backlog), Miss the number of this request's prompt tokens
-	// that it had not cached.
+	// was chosen (its prefill backlog), including this request's. Miss is the number of
+	// this request's prompt tokens among them: those neither cached there nor fetched.
 	Unread, Miss int
 	// Fetched is the number of this request's prompt tokens that the target could fetch
 	// from another engine's cache.
--- a/internal/forward/suspects.go
+++ b/internal/forward/suspects.go
@@ -14,19 +14,19 @@
 type Suspects interface {
 	// View returns the requests suspected now, or nil if there are none.
 	View() *quarantine.View
-	// Broke records that a target broke off its answer to a request. It returns the number
-	// of targets that have exited while running the request.
-	Broke(ctx context.Context, b Break) int
-	// Try reports whether a quarantined request may be sent on trial, with an answer by
-	// until. Tried ends the trial.
-	Try(ctx context.Context, k quarantine.Key, until time.Time) bool
-	Tried(k quarantine.Key)
-	// Ended records that the process of a target has exited.
-	Ended(t balance.Target)
-	// Cleared records that a target has run a suspected request to its end.
-	Cleared(k quarantine.Key)
-	// Seen records that a quarantined request has been received again.
-	Seen(k quarantine.Key)
+	// RecordBreak records that a target broke off its answer to a request. It returns the
+	// number of targets that have exited while running the request.
+	RecordBreak(ctx context.Context, b Break) int
+	// StartTrial reports whether a quarantined request may be sent on trial. The trial ends
+	// with EndTrial, and at the latest at until.
+	StartTrial(ctx context.Context, k quarantine.Key, until time.Time) bool
+	EndTrial(k quarantine.Key)
+	// RecordExit records that the process of a target has exited.
+	RecordExit(t balance.Target)
+	// RecordSuccess records that a target has run a suspected request to its end.
+	RecordSuccess(k quarantine.Key)
+	// RecordSeen records that a quarantined request has been received again.
+	RecordSeen(k quarantine.Key)
 }
 
 // Break describes an answer that a target broke off.
@@ -34,9 +34,9 @@
 	Key          quarantine.Key
 	Organisation string
 	Target       balance.Target
-	// Ended is set if the target's process is known to have exited. Trial is set if the
-	// request was sent although other targets had crashed while running it.
-	Ended, Trial bool
+	// TargetExited is set if the target's process is known to have exited. OnTrial is set if
+	// the request was sent although other targets had crashed while running it.
+	TargetExited, OnTrial bool
 }
 
 // key identifies the request by its content, so that repeats with other ids are recognised.
@@ -63,7 +63,7 @@
 		return false
 	}
 	if v.Stale(now, k) {
-		x.suspects.Seen(k)
+		x.suspects.RecordSeen(k)
 	}
 	x.verdict.Content = k.String()
 	if left == 0 {
@@ -85,7 +85,7 @@
 		x.onTrial = !quarantine.MayRepeat(crashes)
 		return true
 	}
-	x.onTrial = x.suspects.Try(ctx, x.key(), x.deadline)
+	x.onTrial = x.suspects.StartTrial(ctx, x.key(), x.deadline)
 	return x.onTrial
 }
 
@@ -97,19 +97,19 @@
 	case ReasonRestarted:
 		ended = true
 	case ReasonBroken:
-		ended = x.sender.Ended(ctx, to.Address, to.Incarnation())
+		ended = x.sender.ProcessExited(ctx, to.Address, to.Incarnation())
 	case ReasonSilent:
 		// The process may have exited; that is found out later.
 	default:
 		return false
 	}
-	crashes := x.suspects.Broke(ctx, Break{Key: x.key(), Organisation: x.Organisation, Target: to, Ended: ended, Trial: x.onTrial})
+	crashes := x.suspects.RecordBreak(ctx, Break{Key: x.key(), Organisation: x.Organisation, Target: to, TargetExited: ended, OnTrial: x.onTrial})
 	return !quarantine.MayRepeat(crashes)
 }
 
 // clearSuspicion clears the suspicion against a request that a target has run to its end.
 func (x *inflight) clearSuspicion() {
 	if x.suspects.View().Crashes(x.key()) > 0 {
-		x.suspects.Cleared(x.key())
+		x.suspects.RecordSuccess(x.key())
 	}
 }
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -85,7 +85,7 @@
 	if errors.Is(err, httptarget.ErrNotSent) {
 		f := &failure{reason: ReasonUnreachable, result: balance.Unreachable, cause: err}
 		if errors.Is(err, httptarget.ErrNobodyListens) {
-			x.suspects.Ended(to)
+			x.suspects.RecordExit(to)
 		}
 		if ctx.Err() != nil {
 			f.result = balance.Left
--- a/internal/gateway/advice.go
+++ b/internal/gateway/advice.go
@@ -24,6 +24,6 @@
 	leaving, resting := now.Leaving-before.Leaving, now.Resting-before.Resting
 	g.Log.Info("requests sent against advice", "leaving", leaving, "resting", resting)
 	g.Metrics.againstAdvice.Add(string(forward.AdviceLeaving), leaving)
-	g.Metrics.againstAdvice.Add(string(forward.AdviceRest), resting)
+	g.Metrics.againstAdvice.Add(string(forward.AdviceBackoff), resting)
 	g.against = now
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -94,11 +94,11 @@
 	m.Set("open_requests", func() any { return g.server.Open() })
 }
 
-// Retried counts a retry by its reason.
-func (m *Metrics) Retried(r forward.Reason) { m.retries.Add(string(r), 1) }
+// CountRetry counts a retry by its reason.
+func (m *Metrics) CountRetry(r forward.Reason) { m.retries.Add(string(r), 1) }
 
-// Advised counts what a target said of itself.
-func (m *Metrics) Advised(a forward.Advice) { m.advice.Add(string(a), 1) }
+// CountAdvice counts what a target said of itself.
+func (m *Metrics) CountAdvice(a forward.Advice) { m.advice.Add(string(a), 1) }
 
 func (m *Metrics) ended(v forward.Verdict, took time.Duration) {
 	m.statuses.Add(fmt.Sprint(v.Status), 1)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -52,26 +52,26 @@
 // View implements forward.Suspects.
 func (g suspects) View() *quarantine.View { return g.view.Load() }
 
-// Broke implements forward.Suspects.
-func (g suspects) Broke(ctx context.Context, b forward.Break) int {
+// RecordBreak implements forward.Suspects.
+func (g suspects) RecordBreak(ctx context.Context, b forward.Break) int {
 	crashes := 0
 	g.loop.Ask(ctx, func(s *balance.State, now time.Time) {
 		if g.announced(s, b.Target) {
 			return
 		}
 		name := b.Target.Incarnation()
-		if b.Ended {
+		if b.TargetExited {
 			g.isolation.state.Ended(now, name)
 		}
-		crashes = g.isolation.state.Broke(now, b.Key, b.Organisation, name, b.Trial)
+		crashes = g.isolation.state.Broke(now, b.Key, b.Organisation, name, b.OnTrial)
 		g.found(now)
 	})
 	return crashes
 }
 
-// Try implements forward.Suspects: of all routers that run, the one that ranks first for
+// StartTrial implements forward.Suspects: of all routers that run, the one that ranks first for
 // the request tries it.
-func (g suspects) Try(ctx context.Context, k quarantine.Key, until time.Time) bool {
+func (g suspects) StartTrial(ctx context.Context, k quarantine.Key, until time.Time) bool {
 	may := false
 	g.loop.Ask(ctx, func(_ *balance.State, now time.Time) {
 		may = g.ranksFirst(now, k) && g.isolation.state.Try(now, k, until)
@@ -82,13 +82,13 @@
 	return may
 }
 
-// Tried implements forward.Suspects.
-func (g suspects) Tried(k quarantine.Key) {
+// EndTrial implements forward.Suspects.
+func (g suspects) EndTrial(k quarantine.Key) {
 	g.loop.Post(func(*balance.State, time.Time) { g.isolation.state.Tried(k) })
 }
 
-// Ended implements forward.Suspects.
-func (g suspects) Ended(t balance.Target) {
+// RecordExit implements forward.Suspects.
+func (g suspects) RecordExit(t balance.Target) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
 		if !g.announced(s, t) {
 			g.isolation.state.Ended(now, t.Incarnation())
@@ -97,16 +97,16 @@
 	})
 }
 
-// Cleared implements forward.Suspects.
-func (g suspects) Cleared(k quarantine.Key) {
+// RecordSuccess implements forward.Suspects.
+func (g suspects) RecordSuccess(k quarantine.Key) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
 		g.isolation.state.Clear(k)
 		g.found(now)
 	})
 }
 
-// Seen implements forward.Suspects.
-func (g suspects) Seen(k quarantine.Key) {
+// RecordSeen implements forward.Suspects.
+func (g suspects) RecordSeen(k quarantine.Key) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
 		g.isolation.state.Seen(now, k)
 		g.publishSuspects()
--- a/internal/gateway/quarantine_internal_test.go
+++ b/internal/gateway/quarantine_internal_test.go
@@ -32,7 +32,7 @@
 	target := balance.Target{ID: "t", Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 1, Born: 5}
 	g.SetTargets(8, []message.StoredObject{listedAs(t, 8, target)})
 	k := quarantine.KeyOf("o", "POST", "/x", nil)
-	if n := (suspects{g}).Broke(context.Background(), forward.Break{Key: k, Organisation: "o", Target: target}); n != 0 {
+	if n := (suspects{g}).RecordBreak(context.Background(), forward.Break{Key: k, Organisation: "o", Target: target}); n != 0 {
 		t.Fatalf("%d ends counted before", n)
 	}
 	target.Born = 6
@@ -85,7 +85,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
 			k := quarantine.KeyOf("o", "POST", "/x", nil)
-			if got := (suspects{g}).Broke(ctx, forward.Break{Key: k, Organisation: "o", Target: target, Ended: c.ended}); got != c.want {
+			if got := (suspects{g}).RecordBreak(ctx, forward.Break{Key: k, Organisation: "o", Target: target, TargetExited: c.ended}); got != c.want {
 				t.Errorf("%d ends counted, want %d", got, c.want)
 			}
 		})
@@ -117,7 +117,7 @@
 	for i := range 3 {
 		target := balance.Target{ID: fmt.Sprint("t", i), Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 1, Born: 5}
 		g.SetTargets(int64(8+i), []message.StoredObject{listedAs(t, int64(8+i), target)})
-		(suspects{g}).Broke(context.Background(), forward.Break{Key: key, Organisation: "o", Target: target, Ended: true})
+		(suspects{g}).RecordBreak(context.Background(), forward.Break{Key: key, Organisation: "o", Target: target, TargetExited: true})
 	}
 	count := func() int {
 		keeper.mu.Lock()
--- a/internal/httptarget/ended_test.go
+++ b/internal/httptarget/ended_test.go
@@ -15,9 +15,9 @@
 	"github.com/stepcroft/stepcroft/internal/httptarget"
 )
 
-// TestEnded calls Ended many times at once, as happens when a target breaks off all its
-// requests.
-func TestEnded(t *testing.T) {
+// TestProcessExited calls ProcessExited many times at once, as happens when a target breaks
+// off all its requests.
+func TestProcessExited(t *testing.T) {
 	g := group.New(t.Context())
 	defer g.Stop()
 	running := httptest.NewServer(http.NotFoundHandler())
@@ -35,8 +35,8 @@
 		var wait sync.WaitGroup
 		for range 20 {
 			wait.Go(func() {
-				if got := transport.Ended(t.Context(), address, "t"); got != want {
-					t.Errorf("%s ended: %v, want %v", address, got, want)
+				if got := transport.ProcessExited(t.Context(), address, "t"); got != want {
+					t.Errorf("%s exited: %v, want %v", address, got, want)
 				}
 			})
 		}
@@ -54,8 +54,8 @@
 	transport := httptarget.New(g)
 	defer transport.Close()
 	address := server.Listener.Addr().String()
-	if transport.Ended(t.Context(), address, "t") {
-		t.Fatal("a running target was reported as ended")
+	if transport.ProcessExited(t.Context(), address, "t") {
+		t.Fatal("a running target was reported as exited")
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
--- a/internal/httptarget/httptarget.go
+++ b/internal/httptarget/httptarget.go
@@ -174,10 +174,10 @@
 // which takes some milliseconds between zones.
 const probeTimeout = 100 * time.Millisecond
 
-// Ended reports whether the process of a target has exited, which it takes a refused
+// ProcessExited reports whether the process of a target has exited, which it takes a refused
 // connection to mean. Concurrent calls for the same process share one probe, as when a
 // target breaks off many answers at once. A connection that succeeds is kept for reuse.
-func (t *Transport) Ended(ctx context.Context, address, instance string) bool {
+func (t *Transport) ProcessExited(ctx context.Context, address, instance string) bool {
 	e := endpoint{address, instance}
 	ended, _, _ := t.probes.Do(address+" "+instance, func() (any, error) { return t.probe(ctx, e), nil })
 	return ended.(bool)
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -23,7 +23,7 @@
 // counting is a sender that counts what it is to send.
 type counting struct{ sends atomic.Int64 }
 
-func (*counting) Ended(context.Context, string, string) bool { return false }
+func (*counting) ProcessExited(context.Context, string, string) bool { return false }
 
 func (s *counting) Send(context.Context, string, httptarget.Request) (*httptarget.Answer, error) {
 	s.sends.Add(1)
--- a/internal/ingress/quick_test.go
+++ b/internal/ingress/quick_test.go
@@ -40,21 +40,21 @@
 	return nil, errors.Wrap(httptarget.ErrNotSent, "test")
 }
 
-func (unreachable) Ended(context.Context, string, string) bool { return false }
+func (unreachable) ProcessExited(context.Context, string, string) bool { return false }
 
 // trusting suspects no request.
 type trusting struct{ forward.Suspects }
 
-func (trusting) View() *quarantine.View                   { return nil }
-func (trusting) Ended(balance.Target)                     {}
-func (trusting) Broke(context.Context, forward.Break) int { return 0 }
+func (trusting) View() *quarantine.View                         { return nil }
+func (trusting) RecordExit(balance.Target)                      {}
+func (trusting) RecordBreak(context.Context, forward.Break) int { return 0 }
 
 // ended keeps nothing of what it is told.
 type ended struct{}
 
 func (ended) Ended(forward.Request, forward.Verdict, time.Duration) {}
-func (ended) Retried(forward.Reason)                                {}
-func (ended) Advised(forward.Advice)                                {}
+func (ended) CountRetry(forward.Reason)                             {}
+func (ended) CountAdvice(forward.Advice)                            {}
 
 // maxConnections is the most connections that newServer's server has.
 const maxConnections = 3
