--- a/internal/balance/advice.go
+++ b/internal/balance/advice.go
@@ -7,9 +7,9 @@
 	"github.com/stepcroft/stepcroft/internal/advice"
 )
 
-// Leaves records that a request's target reported in its answer that it is shutting down. It
-// returns whether this was not known before.
-func (s *State) Leaves(now time.Time, t *Ticket) bool {
+// RecordLeaving records that a request's target reported in its answer that it is shutting
+// down. It returns whether this was not known before.
+func (s *State) RecordLeaving(now time.Time, t *Ticket) bool {
 	if t.target == nil {
 		return false
 	}
@@ -21,9 +21,9 @@
 	return news
 }
 
-// Rests records that a request's target asked in its answer for a backoff of d. It returns
-// whether the target was not backing off already.
-func (s *State) Rests(now time.Time, t *Ticket, d time.Duration) bool {
+// RecordBackoff records that a request's target asked in its answer for a backoff of d. It
+// returns whether the target was not backing off already.
+func (s *State) RecordBackoff(now time.Time, t *Ticket, d time.Duration) bool {
 	if t.target == nil {
 		return false
 	}
@@ -51,8 +51,9 @@
 // counts, whatever its entry says.
 func (t *target) Closed(now time.Time) bool { return t.reported.Leaving() || t.Target.Closed(now) }
 
-// SaidLeaving reports whether an incarnation of a target reported that it is shutting down.
-func (s *State) SaidLeaving(t Target) bool { return s.advice.Find(t.Incarnation()).Leaving() }
+// ReportedLeaving reports whether an incarnation of a target reported that it is shutting
+// down.
+func (s *State) ReportedLeaving(t Target) bool { return s.advice.Find(t.Incarnation()).Leaving() }
 
 const (
 	// backoffJitterPercent is the most by which a requested backoff is extended: routers that
@@ -99,9 +100,9 @@
 	return first, !first.IsZero()
 }
 
-// RestLeft returns when to retry if all targets of a service back off, with jitter so that
+// BackoffLeft returns when to retry if all targets of a service back off, with jitter so that
 // callers do not retry together; false if some target does not back off.
-func (s *State) RestLeft(now time.Time, service string) (time.Duration, bool) {
+func (s *State) BackoffLeft(now time.Time, service string) (time.Duration, bool) {
 	end, ok := s.backoffEnd(now, service, nil)
 	if !ok {
 		return 0, false
@@ -110,14 +111,14 @@
 	return left + time.Duration(s.random.Int64N(int64(left)*backoffJitterPercent/100+1)), true
 }
 
-// Against counts the requests that were sent in spite of what targets reported: to targets
-// that are leaving, and to ones that back off.
-type Against struct {
-	Leaving, Resting int64
+// SentAgainstAdvice counts the requests that were sent in spite of what targets reported: to
+// targets that are leaving, and to ones that back off.
+type SentAgainstAdvice struct {
+	Leaving, BackingOff int64
 }
 
-// AgainstAdvice returns these counts since the start.
-func (s *State) AgainstAdvice() Against { return s.against }
+// SentAgainstAdvice returns these counts since the start.
+func (s *State) SentAgainstAdvice() SentAgainstAdvice { return s.against }
 
 // noteSent counts a request that is sent in spite of what its target reported, and makes the
 // first one after a backoff the target's probe.
@@ -126,7 +127,7 @@
 		s.against.Leaving++
 	}
 	if to.backingOff(now) {
-		s.against.Resting++
+		s.against.BackingOff++
 	}
 	if !to.reported.BackoffUntil().IsZero() {
 		to.probe = t
@@ -159,6 +160,6 @@
 	s.refuseUnservable(now)
 }
 
-// Paused returns the number of backoffs started because a target refused one request after
+// Backoffs returns the number of backoffs started because a target refused one request after
 // another.
-func (s *State) Paused() int64 { return s.backoffs }
+func (s *State) Backoffs() int64 { return s.backoffs }
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -127,8 +127,8 @@
 	reported *advice.Record
 	// probe is the first request sent after a backoff, until the target takes it.
 	probe *Ticket
-	// consecutiveRefusals is the number of consecutive requests that the target rejected without asking
-	// for a backoff.
+	// consecutiveRefusals is the number of consecutive requests that the target rejected
+	// without asking for a backoff.
 	consecutiveRefusals int
 }
 
@@ -149,8 +149,8 @@
 	shares       shares
 	// peers is what other routers reported.
 	peers *view.View
-	// runningPeers is the number of other routers believed to be runningPeers, servingPeers how
-	// many of those serve callers.
+	// runningPeers is the number of other routers believed to be runningPeers, servingPeers
+	// how many of those serve callers.
 	runningPeers, servingPeers int
 	level                      level
 	budget                     budget
@@ -167,7 +167,7 @@
 	coldAllowance func(now time.Time, target string, r coldstart.Rate) int
 	coldSkips     int64
 	advice        advice.Records
-	against       Against
+	against       SentAgainstAdvice
 	// backoffs counts the backoffs that this router started without a target having asked for
 	// one.
 	backoffs int64
@@ -214,9 +214,9 @@
 	s.arrive(now, t)
 }
 
-// Again accepts a retry of a request. It returns false if the retry budget is spent; the
+// Retry accepts a retry of a request. It returns false if the retry budget is spent; the
 // ticket then gets no decision.
-func (s *State) Again(now time.Time, t *Ticket) bool {
+func (s *State) Retry(now time.Time, t *Ticket) bool {
 	if !s.budget.allowRetry(now, t.Service, s.limits, s.routers()) {
 		return false
 	}
@@ -225,14 +225,14 @@
 	return true
 }
 
-// Unsent accepts again a request that was not sent for lack of a connection. It counts neither
-// as a new request nor as a retry.
-func (s *State) Unsent(now time.Time, t *Ticket) { s.arrive(now, t) }
+// Requeue accepts again a request that was not sent for lack of a connection. It counts
+// neither as a new request nor as a retry.
+func (s *State) Requeue(now time.Time, t *Ticket) { s.arrive(now, t) }
 
-// MayLeave reports whether a request may be moved from the target that it was sent to to
+// MaySwitch reports whether a request may be moved from its target to
 // another one: the target has sent nothing for the time silent, the retry budget allows it,
 // and there is another usable target.
-func (s *State) MayLeave(now time.Time, t *Ticket, silent time.Duration) bool {
+func (s *State) MaySwitch(now time.Time, t *Ticket, silent time.Duration) bool {
 	if t.target == nil || now.Sub(t.Arrived)-time.Duration(t.Heard.Load()) < silent {
 		return false
 	}
@@ -305,8 +305,8 @@
 	t.Decision <- d
 }
 
-// Begun records that a request's target has started to answer it.
-func (s *State) Begun(now time.Time, t *Ticket) {
+// Started records that a request's target has started to answer it.
+func (s *State) Started(now time.Time, t *Ticket) {
 	if t.started || t.target == nil {
 		return
 	}
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -101,7 +101,7 @@
 
 // complete runs a ticket to its successful end.
 func (w *world) serve(t *balance.Ticket) {
-	w.Begun(w.now, t)
+	w.Started(w.now, t)
 	w.Ended(w.now, t, balance.Answered)
 }
 
@@ -351,7 +351,7 @@
 		for range 5 {
 			w.Arrive(w.now, w.prompt("large", "known", 1500))
 		}
-		w.Begun(w.now, running[0])
+		w.Started(w.now, running[0])
 		Expect(decision(small)).NotTo(BeNil())
 	})
 })
@@ -377,7 +377,7 @@
 		} {
 			w := newWorld(1)
 			w.SetReportPeriod(c.period)
-			w.Heard(w.now, "r", reportOver(view.Usage{Demand: 1, Started: 1, Waiting: 1}))
+			w.ApplyReport(w.now, "r", reportOver(view.Usage{Demand: 1, Started: 1, Waiting: 1}))
 			w.pass(c.age)
 			Expect(w.arrive(w.prompt("large", "s", 1000)) == nil).To(Equal(c.counts), name)
 		}
@@ -386,7 +386,7 @@
 	It("delay only organisations over their share that were served over 1.4 times as much", func() {
 		for had, waits := range map[float64]bool{8: false, 6: true} {
 			w := newWorld(1)
-			w.Heard(w.now, "r", reportOver(view.Usage{Demand: had * tokensPerSecond, Started: had * tokensPerSecond, Waiting: 1}))
+			w.ApplyReport(w.now, "r", reportOver(view.Usage{Demand: had * tokensPerSecond, Started: had * tokensPerSecond, Waiting: 1}))
 			// Expired reports are looked for once in 20 ms.
 			w.pass(25 * time.Millisecond)
 			Expect(w.arrive(w.prompt("large", "s", 1000)) == nil).To(Equal(waits), "other organisation was served %g, large 10", had)
@@ -395,7 +395,7 @@
 
 	It("do not delay an organisation within its share", func() {
 		w := newWorld(1)
-		w.Heard(w.now, "r", reportOver(view.Usage{Demand: 1, Started: 1, Waiting: 1}))
+		w.ApplyReport(w.now, "r", reportOver(view.Usage{Demand: 1, Started: 1, Waiting: 1}))
 		t := w.prompt("small", "s", 1000)
 		Expect(w.arrive(t)).NotTo(BeNil())
 		w.serve(t)
@@ -407,11 +407,11 @@
 	It("is announced at once, and other routers avoid its engine", func() {
 		here, there := newWorld(2), newWorld(2)
 		var told []string
-		here.Notify(func(target string, l, _ view.Load) {
+		here.OnLongPrompt(func(target string, l, _ view.Load) {
 			told = append(told, target)
-			there.HeardLoad(there.now, "here", target, l)
+			there.SetPeerLoad(there.now, "here", target, l)
 		})
-		there.Heard(there.now, "here", here.Report(here.now))
+		there.ApplyReport(there.now, "here", here.Report(here.now))
 		Expect(here.arrive(here.unshared("o", 10))).NotTo(BeNil())
 		Expect(told).To(BeEmpty())
 		long := here.arrive(here.unshared("o", 4000))
@@ -427,9 +427,9 @@
 	// announced to the other routers.
 	second := func(serving, tokens int) int {
 		w := newWorld(8)
-		w.SetOthers(serving, serving)
+		w.SetPeers(serving, serving)
 		told := 0
-		w.Notify(func(string, view.Load, view.Load) { told++ })
+		w.OnLongPrompt(func(string, view.Load, view.Load) { told++ })
 		for range 100 {
 			w.pass(10 * time.Millisecond)
 			t := w.unshared("", tokens)
@@ -453,7 +453,7 @@
 	It("allows the retry ratio of the requests and the router's part of the slack", func() {
 		w := newWorld(3)
 		for i := range 4 {
-			w.Heard(w.now, fmt.Sprint("r", i), view.Report{})
+			w.ApplyReport(w.now, fmt.Sprint("r", i), view.Report{})
 		}
 		for range 100 {
 			t := w.plain()
@@ -464,7 +464,7 @@
 		retries := 0
 		for range 100 {
 			t := w.plain()
-			if w.Again(w.now, t) {
+			if w.Retry(w.now, t) {
 				retries++
 				if decision(t) != nil {
 					w.serve(t)
@@ -480,7 +480,7 @@
 		w := newWorld(3)
 		for range 1000 {
 			t := w.plain()
-			w.Unsent(w.now, t)
+			w.Requeue(w.now, t)
 			if decision(t) != nil {
 				w.Ended(w.now, t, balance.Unreachable)
 			}
@@ -488,7 +488,7 @@
 		retries := 0
 		for range 1000 {
 			t := w.plain()
-			if w.Again(w.now, t) {
+			if w.Retry(w.now, t) {
 				retries++
 				w.Ended(w.now, t, balance.Answered)
 			}
@@ -500,7 +500,7 @@
 		w := newWorld(3)
 		retry := func() bool {
 			t := w.plain()
-			ok := w.Again(w.now, t)
+			ok := w.Retry(w.now, t)
 			if ok {
 				w.serve(t)
 			}
--- a/internal/balance/bench_test.go
+++ b/internal/balance/bench_test.go
@@ -26,7 +26,7 @@
 					for i := range 30 {
 						report.Usage[fmt.Sprint("o", i)] = view.Usage{Demand: 1000, Started: 1000}
 					}
-					w.Heard(w.now, fmt.Sprint("r", r), report)
+					w.ApplyReport(w.now, fmt.Sprint("r", r), report)
 				}
 			}
 			hear()
--- a/internal/balance/box_test.go
+++ b/internal/balance/box_test.go
@@ -215,7 +215,7 @@
 func (b *box) tick(n int, used time.Duration, looked time.Time) {
 	b.Tick(b.now)
 	if n%meterTicks == 0 && n > 0 {
-		b.SetBusy(b.now, (b.used-used).Seconds()/(b.now.Sub(looked).Seconds()*b.cores), b.cores)
+		b.SetCPUUtilisation(b.now, (b.used-used).Seconds()/(b.now.Sub(looked).Seconds()*b.cores), b.cores)
 		used, looked = b.used, b.now
 	}
 	b.gates = b.gatesAt(b.now)
@@ -366,7 +366,7 @@
 func (b *box) pass(k kind, t *Ticket, begin time.Time, passed int) {
 	b.work(eventCost, func() {
 		if passed == 0 {
-			b.Begun(b.now, t)
+			b.Started(b.now, t)
 		}
 		made := min(int(b.now.Sub(begin)/eventGap)+1, k.events)
 		t.Pieces.Add(1)
--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -6,9 +6,9 @@
 	"github.com/stepcroft/stepcroft/internal/coldstart"
 )
 
-// OnCold sets the function that returns how many requests this router may send to a cold
-// target in a second; nil allows none.
-func (s *State) OnCold(part func(now time.Time, target string, r coldstart.Rate) int) {
+// SetColdAllowance sets the function that returns how many requests this router may send to a
+// cold target in a second; nil allows none.
+func (s *State) SetColdAllowance(part func(now time.Time, target string, r coldstart.Rate) int) {
 	s.coldAllowance = part
 }
 
@@ -62,9 +62,9 @@
 	}
 }
 
-// Cold returns the number of cold targets by service, and how often a target was skipped since
-// the start because it was cold.
-func (s *State) Cold(now time.Time) (map[string]int, int64) {
+// ColdTargets returns the number of cold targets by service, and how often a target was
+// skipped since the start because it was cold.
+func (s *State) ColdTargets(now time.Time) (map[string]int, int64) {
 	cold := map[string]int{}
 	for _, t := range s.targets {
 		if now.Before(t.coldUntil) {
--- a/internal/balance/gate_test.go
+++ b/internal/balance/gate_test.go
@@ -53,7 +53,7 @@
 		}
 		s.Tick(now)
 		if tick%meterTicks == 0 {
-			s.SetBusy(now, float64(lately)/meterTicks*cost, 0.2)
+			s.SetCPUUtilisation(now, float64(lately)/meterTicks*cost, 0.2)
 			lately = 0
 		}
 		gates = s.gatesAt(now)
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -47,7 +47,7 @@
 		if h.failureRate >= suspectThreshold {
 			h.suspect(now)
 		}
-	case Refused, Left:
+	case Refused, Abandoned:
 	}
 }
 
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -48,7 +48,7 @@
 	s.Arrive(now, k)
 	old := s.findIncarnation("e@1")
 	old.record(now, Unreachable)
-	s.Heard(now, "r", view.Report{Loads: map[string]view.Load{"e@1": {Running: 7}}, SharedParts: map[string][]string{"e@1": {"other"}}})
+	s.ApplyReport(now, "r", view.Report{Loads: map[string]view.Load{"e@1": {Running: 7}}, SharedParts: map[string][]string{"e@1": {"other"}}})
 	if got := s.loadOf(now, old); got.Running != 8 || !old.suspected(now) {
 		t.Fatalf("load %+v before the restart, suspected %v", got, old.suspected(now))
 	}
@@ -58,7 +58,7 @@
 	if fresh == nil || s.findIncarnation("e@1") != nil || lost != 1 {
 		t.Fatalf("old incarnation %v, new one %v, %d requests aborted, want 1", s.findIncarnation("e@1"), fresh, lost)
 	}
-	s.Heard(now, "late", view.Report{Loads: map[string]view.Load{"e@1": {Running: 5}}, SharedParts: map[string][]string{"e@1": {"shared"}}})
+	s.ApplyReport(now, "late", view.Report{Loads: map[string]view.Load{"e@1": {Running: 5}}, SharedParts: map[string][]string{"e@1": {"shared"}}})
 	s.Ended(now, k, Failed)
 	if got := s.loadOf(now, fresh); got != (view.Load{}) || fresh.suspected(now) || fresh.failureRate > 0 {
 		t.Errorf("load %+v of a new incarnation, suspected %v", got, fresh.suspected(now))
@@ -153,7 +153,7 @@
 					return
 				}
 				m := rapid.SampledFrom(sent[1-i]).Draw(t, "report")
-				states[i].Heard(now, "other", m.report)
+				states[i].ApplyReport(now, "other", m.report)
 				heard[i] = m.report.Loads
 			},
 			"": func(t *rapid.T) {
--- a/internal/balance/leaving_test.go
+++ b/internal/balance/leaving_test.go
@@ -26,7 +26,7 @@
 				if d := w.arrive(k); d == nil || d.Refused != "" {
 					t.Fatal("no target")
 				}
-				w.Leaves(w.now, k)
+				w.RecordLeaving(w.now, k)
 			}
 		},
 	}
--- a/internal/balance/loop.go
+++ b/internal/balance/loop.go
@@ -60,9 +60,9 @@
 	switch {
 	case m.lastAt.IsZero() || passed <= 0:
 	case passed > lateTicks*tickInterval:
-		s.SetBusy(now, 1, m.cores)
+		s.SetCPUUtilisation(now, 1, m.cores)
 	default:
-		s.SetBusy(now, (used-m.lastUsed).Seconds()/(passed.Seconds()*m.cores), m.cores)
+		s.SetCPUUtilisation(now, (used-m.lastUsed).Seconds()/(passed.Seconds()*m.cores), m.cores)
 	}
 	m.lastAt, m.lastUsed = now, used
 }
--- a/internal/balance/peers.go
+++ b/internal/balance/peers.go
@@ -45,13 +45,13 @@
 	return true
 }
 
-// Notify sets a function that is called at once when a long prompt is sent. It gets the
+// OnLongPrompt sets a function that is called at once when a long prompt is sent. It gets the
 // target, this router's load on it and the load that the request added.
-func (s *State) Notify(f func(target string, now, added view.Load)) { s.notify = f }
+func (s *State) OnLongPrompt(f func(target string, now, added view.Load)) { s.notify = f }
 
-// SetOthers sets how many other routers are believed to be running, and how many of those
+// SetPeers sets how many other routers are believed to be running, and how many of those
 // serve callers.
-func (s *State) SetOthers(running, serving int) { s.runningPeers, s.servingPeers = running, serving }
+func (s *State) SetPeers(running, serving int) { s.runningPeers, s.servingPeers = running, serving }
 
 // routers returns the number of routers in the fleet.
 func (s *State) routers() int { return max(s.runningPeers, s.peers.RouterCount()) + 1 }
@@ -59,8 +59,8 @@
 // SetReportPeriod sets the interval between two reports of a router.
 func (s *State) SetReportPeriod(d time.Duration) { s.peers.SetPeriod(d) }
 
-// Heard applies a report received from another router.
-func (s *State) Heard(now time.Time, router string, r view.Report) {
+// ApplyReport applies a report received from another router.
+func (s *State) ApplyReport(now time.Time, router string, r view.Report) {
 	s.peers.UpdateReport(now, router, r)
 	for id, parts := range r.SharedParts {
 		if t := s.findIncarnation(id); t != nil {
@@ -70,18 +70,18 @@
 	s.dispatch(now)
 }
 
-// Forget removes everything that another router reported.
-func (s *State) Forget(now time.Time, router string) { s.peers.Remove(now, router) }
+// ForgetPeer removes everything that another router reported.
+func (s *State) ForgetPeer(now time.Time, router string) { s.peers.Remove(now, router) }
 
-// HeardLoad sets the load that another router's requests put on a target. It replaces the one
-// in that router's last report.
-func (s *State) HeardLoad(now time.Time, router, target string, l view.Load) {
+// SetPeerLoad sets the load that another router's requests put on a target. It replaces the
+// one in that router's last report.
+func (s *State) SetPeerLoad(now time.Time, router, target string, l view.Load) {
 	s.peers.UpdateLoad(now, router, target, l)
 }
 
-// AddLoad adds a request's load on a target to that of another router, or to the sum of
+// AddPeerLoad adds a request's load on a target to that of another router, or to the sum of
 // several routers that is kept under name.
-func (s *State) AddLoad(now time.Time, name, target string, l view.Load) {
+func (s *State) AddPeerLoad(now time.Time, name, target string, l view.Load) {
 	s.peers.AddLoad(now, name, target, l)
 }
 
--- a/internal/balance/plain_test.go
+++ b/internal/balance/plain_test.go
@@ -108,7 +108,7 @@
 				continue
 			}
 			delete(ends, ticket)
-			s.Begun(now, ticket)
+			s.Started(now, ticket)
 			s.Ended(now, ticket, balance.Answered)
 			if at.Sub(ticket.Arrived) <= burstGoal {
 				inTime++
--- a/internal/balance/queue.go
+++ b/internal/balance/queue.go
@@ -29,13 +29,13 @@
 	return true
 }
 
-// SetBusy records the fraction of its cores that the router used lately.
-func (s *State) SetBusy(now time.Time, part, cores float64) {
+// SetCPUUtilisation records the fraction of its cores that the router used lately.
+func (s *State) SetCPUUtilisation(now time.Time, part, cores float64) {
 	s.throttle.SetCPUUtilisation(now, part, cores, s.shareStatusAt(now))
 }
 
-// Throttles returns the starts and ends of throttling since the last call, by organisation.
-func (s *State) Throttles() []throttle.Notice { return s.throttle.Notices() }
+// ThrottleNotices returns which organisations the router throttled since the last call.
+func (s *State) ThrottleNotices() []throttle.Notice { return s.throttle.Notices() }
 
 // gatesAt returns the admission gates that apply until the next tick, by organisation.
 func (s *State) gatesAt(now time.Time) map[string]*throttle.Gate {
@@ -115,7 +115,7 @@
 	case !open:
 		return NoTarget
 	case rest:
-		return Resting
+		return BackingOff
 	case s.mustQueue(now, t):
 		return OverShare
 	}
@@ -145,7 +145,7 @@
 	}
 	if slices.ContainsFunc(list, func(to *target) bool { return !to.Closed(now) }) {
 		end, rest := s.backoffEnd(now, t.Service, t.Tried)
-		return Resting, rest && end.After(t.expires)
+		return BackingOff, rest && end.After(t.expires)
 	}
 	if s.allDrained(now, t.Service) {
 		return Drained, true
@@ -233,7 +233,7 @@
 // retryAfter returns when a refused caller should retry, with jitter so that refused callers
 // do not retry together.
 func (s *State) retryAfter(now time.Time, t *Ticket) time.Duration {
-	if d, ok := s.RestLeft(now, t.Service); ok {
+	if d, ok := s.BackoffLeft(now, t.Service); ok {
 		return d
 	}
 	d := retryAfterFull
--- a/internal/balance/random_test.go
+++ b/internal/balance/random_test.go
@@ -89,14 +89,14 @@
 			if len(m.running) == 0 {
 				t.Skip("nothing runs")
 			}
-			m.Begun(m.now, m.running[rapid.IntRange(0, len(m.running)-1).Draw(t, "which")])
+			m.Started(m.now, m.running[rapid.IntRange(0, len(m.running)-1).Draw(t, "which")])
 		},
 		"end": func(t *rapid.T) {
 			if len(m.running) == 0 {
 				t.Skip("nothing runs")
 			}
 			how := rapid.SampledFrom([]balance.Result{
-				balance.Answered, balance.Refused, balance.Unreachable, balance.Failed, balance.Left,
+				balance.Answered, balance.Refused, balance.Unreachable, balance.Failed, balance.Abandoned,
 			}).Draw(t, "how")
 			m.Ended(m.now, takeOut(t, &m.running), how)
 		},
@@ -107,7 +107,7 @@
 			k := takeOut(t, &m.running)
 			m.Ended(m.now, k, balance.Failed)
 			k.Tried = append(k.Tried, "e0", "p0")
-			if m.Again(m.now, k) {
+			if m.Retry(m.now, k) {
 				m.retries[k.Service] = append(m.retries[k.Service], m.now)
 				m.waiting = append(m.waiting, k)
 				allowed := limits.RetryRatio*float64(m.lately(m.arrivals[k.Service])) + limits.RetrySlack
@@ -132,7 +132,7 @@
 			m.SetTargets(m.now, list)
 		},
 		"hear": func(t *rapid.T) {
-			m.Heard(m.now, fmt.Sprint("r", rapid.IntRange(0, 2).Draw(t, "router")), view.Report{
+			m.ApplyReport(m.now, fmt.Sprint("r", rapid.IntRange(0, 2).Draw(t, "router")), view.Report{
 				Loads: map[string]view.Load{"e1": {PendingTokens: rapid.IntRange(0, 20_000).Draw(t, "unread"), Running: 1}},
 				Usage: map[string]view.Usage{"o1": {Demand: 1000, Started: 1000, Waiting: rapid.IntRange(0, 3).Draw(t, "waiting")}},
 			})
--- a/internal/balance/rest_test.go
+++ b/internal/balance/rest_test.go
@@ -94,7 +94,7 @@
 func (p *restPlay) reach(k *balance.Ticket, id string, repeats int) {
 	p.arrived[id] = append(p.arrived[id], p.now)
 	if p.now.Before(p.from) || !p.now.Before(p.until) || !p.refuses(id) {
-		p.after(20*time.Millisecond, func() { p.Begun(p.now, k) })
+		p.after(20*time.Millisecond, func() { p.Started(p.now, k) })
 		p.after(100*time.Millisecond, func() {
 			p.Ended(p.now, k, balance.Answered)
 			p.served++
@@ -104,11 +104,11 @@
 	p.asked[id] = append(p.asked[id], p.now)
 	p.after(time.Millisecond, func() {
 		if !p.silent {
-			p.Rests(p.now, k, restAsked)
+			p.RecordBackoff(p.now, k, restAsked)
 		}
 		p.Ended(p.now, k, balance.Refused)
 		k.Tried = append(k.Tried, id)
-		if repeats > 0 && p.Again(p.now, k) {
+		if repeats > 0 && p.Retry(p.now, k) {
 			p.follow(k, repeats-1)
 		}
 	})
--- a/internal/balance/room_test.go
+++ b/internal/balance/room_test.go
@@ -60,7 +60,7 @@
 
 	It("is smaller for organisations over their share", func() {
 		within, over := newWorld(1), newWorld(1)
-		over.Heard(over.now, "r", view.Report{Usage: map[string]view.Usage{
+		over.ApplyReport(over.now, "r", view.Report{Usage: map[string]view.Usage{
 			"o": {Demand: 20 * tokensPerSecond, Started: 20 * tokensPerSecond}, "p": {Demand: 20 * tokensPerSecond},
 		}})
 		Expect(over.sent("o", 1000)).To(BeNumerically("<", within.sent("o", 1000)/2))
@@ -69,14 +69,14 @@
 	It("grows as the engine reads", func() {
 		w := newWorld(2)
 		w.learn(50*time.Millisecond, 25*time.Millisecond)
-		w.Heard(w.now, "r", view.Report{Loads: map[string]view.Load{
+		w.ApplyReport(w.now, "r", view.Report{Loads: map[string]view.Load{
 			"e0": {PendingTokens: 30_000, Running: 5}, "e1": {PendingTokens: 30_000, Running: 5},
 		}})
 		t := w.unshared("o", 100)
 		Expect(w.arrive(t)).To(BeNil(), "both engines read for 750 ms")
 		w.pass(100 * time.Millisecond)
 		Expect(decision(t)).To(BeNil())
-		w.Heard(w.now, "r", view.Report{Loads: map[string]view.Load{"e0": {PendingTokens: 20_000, Running: 5}, "e1": {PendingTokens: 20_000, Running: 5}}})
+		w.ApplyReport(w.now, "r", view.Report{Loads: map[string]view.Load{"e0": {PendingTokens: 20_000, Running: 5}, "e1": {PendingTokens: 20_000, Running: 5}}})
 		t = w.unshared("o", 100)
 		w.pass(250 * time.Millisecond)
 		Expect(w.arrive(t)).NotTo(BeNil(), "read for 250 of 500 ms")
@@ -88,7 +88,7 @@
 		for i, unread := range []int{4000, 2000, 300, 3000} {
 			loads[fmt.Sprint("e", i)] = view.Load{PendingTokens: unread, Running: 1}
 		}
-		w.Heard(w.now, "r", view.Report{Loads: loads})
+		w.ApplyReport(w.now, "r", view.Report{Loads: loads})
 		Expect(w.arrive(w.unshared("o", 100)).Target.ID).To(Equal("e2"))
 	})
 })
--- a/internal/balance/ticket.go
+++ b/internal/balance/ticket.go
@@ -38,7 +38,7 @@
 	// Pieces is the number of pieces in which the answer was forwarded. The request's own
 	// goroutine sets it.
 	Pieces atomic.Int64
-	// Decision receives one decision for each call of Arrive or Unsent, and of Again that
+	// Decision receives one decision for each call of Arrive or Unsent, and of Retry that
 	// returned true. Its capacity must be one.
 	Decision chan Decision
 
@@ -48,8 +48,8 @@
 	load    view.Load
 	work    pace.Work
 	started bool
-	// foundFreeSlot is set if the target of a plain service had a foundFreeSlot slot when the request
-	// was sent.
+	// foundFreeSlot is set if the target of a plain service had a foundFreeSlot slot when the
+	// request was sent.
 	foundFreeSlot bool
 	sentAt        time.Time
 	expires       time.Time
@@ -93,11 +93,12 @@
 	// Drained means that no target of the service takes requests and some stand in drained
 	// availability zones.
 	Drained Reason = "zones-drained"
-	// Resting means that all targets that could take the request are backing off.
-	Resting Reason = "targets-resting"
-	// Crowded and Busy are reasons for shedding a request before it is parsed.
-	Crowded = Reason(throttle.QueueFull)
-	Busy    = Reason(throttle.RouterBusy)
+	// BackingOff means that all targets that could take the request are backing off.
+	BackingOff Reason = "targets-resting"
+	// OrganisationQueueFull and RouterBusy are reasons for shedding a request before it is
+	// parsed.
+	OrganisationQueueFull = Reason(throttle.QueueFull)
+	RouterBusy            = Reason(throttle.RouterBusy)
 )
 
 // Result is how an exchange with a target ended.
@@ -113,9 +114,9 @@
 	Unreachable
 	// Failed means that the target failed, broke off its answer or fell silent.
 	Failed
-	// Left means that the caller went away or the deadline passed. It says nothing about the
-	// target's health.
-	Left
+	// Abandoned means that the caller went away or the deadline passed. It says nothing about
+	// the target's health.
+	Abandoned
 )
 
 // tokens returns the cost of a request, in which a generated token counts twice.
--- a/internal/forward/advice.go
+++ b/internal/forward/advice.go
@@ -44,7 +44,7 @@
 func (x *inflight) reportLeaving(to balance.Target) {
 	t := x.ticket
 	x.loop.Post(func(s *balance.State, now time.Time) {
-		if s.Leaves(now, t) {
+		if s.RecordLeaving(now, t) {
 			x.log.Info("target says that it leaves", "target", to.ID, "born", to.Born, "id", x.ID)
 			x.counts.Advised(AdviceLeaving)
 		}
@@ -58,7 +58,7 @@
 	}
 	t := x.ticket
 	x.loop.Post(func(s *balance.State, now time.Time) {
-		if !s.Rests(now, t, d) {
+		if !s.RecordBackoff(now, t, d) {
 			return
 		}
 		x.log.Info("target asks for a rest", "target", to.ID, "rest_ms", d.Milliseconds(), "id", x.ID)
--- a/internal/forward/coalesce_test.go
+++ b/internal/forward/coalesce_test.go
@@ -53,7 +53,7 @@
 		g.GoContext(loop.Run)
 		loop.Post(func(s *balance.State, now time.Time) {
 			s.SetTargets(now, []balance.Target{{ID: "e", Service: "s", Zone: "z", Slots: 4, Address: engine.Listener.Addr().String()}})
-			s.SetBusy(now, busy, 1)
+			s.SetCPUUtilisation(now, busy, 1)
 		})
 		if busy > 0 {
 			Eventually(loop.Coalesce).Should(BeNumerically(">", 0))
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -124,13 +124,13 @@
 			return
 		}
 		if x.Gone != nil && x.Gone() {
-			x.endSend(balance.Left)
+			x.endSend(balance.Abandoned)
 			x.abandon(ctx)
 			return
 		}
 		if clock.Until(x.deadline) <= 0 {
 			// The box was suspended, which also stopped the timer of ctx.
-			x.endSend(balance.Left)
+			x.endSend(balance.Abandoned)
 			x.abandon(ctx)
 			return
 		}
@@ -178,7 +178,7 @@
 		s.Withdraw(t)
 		select {
 		case <-t.Decision:
-			s.Ended(now, t, balance.Left)
+			s.Ended(now, t, balance.Abandoned)
 		default:
 		}
 	})
@@ -268,7 +268,7 @@
 	}
 	after := defaultRetryAfter
 	answered := x.loop.Ask(ctx, func(s *balance.State, now time.Time) {
-		if d, ok := s.RestLeft(now, x.Service); ok {
+		if d, ok := s.BackoffLeft(now, x.Service); ok {
 			after = max(after, d)
 		}
 	})
@@ -313,11 +313,11 @@
 		t.Tried = append(t.Tried, to.Incarnation())
 		t.Resumes = resumes
 		if unsent {
-			s.Unsent(now, t)
+			s.Requeue(now, t)
 			allowed = true
 			return
 		}
-		allowed = s.Again(now, t)
+		allowed = s.Retry(now, t)
 	})
 	if !answered {
 		// The event is still in the queue, and nobody would receive the decision it leads to.
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -132,12 +132,12 @@
 // The reasons.
 const (
 	ReasonFull     Reason = Reason(balance.Full)
-	ReasonResting  Reason = Reason(balance.Resting)
+	ReasonResting  Reason = Reason(balance.BackingOff)
 	ReasonNoTarget Reason = Reason(balance.NoTarget)
 	// ReasonCrowded means that the organisation's queue is full and ReasonBusy that the
 	// router is short of processor time. The request was rejected before parsing.
-	ReasonCrowded Reason = Reason(balance.Crowded)
-	ReasonBusy    Reason = Reason(balance.Busy)
+	ReasonCrowded Reason = Reason(balance.OrganisationQueueFull)
+	ReasonBusy    Reason = Reason(balance.RouterBusy)
 	// ReasonDeadline means that the request's deadline passed.
 	ReasonDeadline Reason = "deadline"
 	// ReasonGone means that the caller disconnected.
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -88,7 +88,7 @@
 			x.suspects.Ended(to)
 		}
 		if ctx.Err() != nil {
-			f.result = balance.Left
+			f.result = balance.Abandoned
 		}
 		x.endSend(f.result)
 		return f
@@ -111,7 +111,7 @@
 	case errors.Is(cause, errRestarted):
 		return &failure{reason: ReasonRestarted, result: balance.Failed, mayHaveRun: true, cause: err}
 	}
-	return &failure{reason: ReasonGone, result: balance.Left, mayHaveRun: true, cause: err}
+	return &failure{reason: ReasonGone, result: balance.Abandoned, mayHaveRun: true, cause: err}
 }
 
 // endSend tells the control thread how the current send ended.
@@ -133,7 +133,7 @@
 	}
 	x.answerStarted = true
 	t := x.ticket
-	x.loop.Post(func(s *balance.State, now time.Time) { s.Begun(now, t) })
+	x.loop.Post(func(s *balance.State, now time.Time) { s.Started(now, t) })
 }
 
 // startSilenceTimer returns a timer that cancels the exchange when the target is silent for
@@ -145,7 +145,7 @@
 	t := x.ticket
 	return time.AfterFunc(max(x.Route.Goal*firstEventGoalPercent/100, minSilence), func() {
 		x.loop.Post(func(s *balance.State, now time.Time) {
-			if s.MayLeave(now, t, minSilence) {
+			if s.MaySwitch(now, t, minSilence) {
 				cancel(errSilent)
 			}
 		})
@@ -214,7 +214,7 @@
 		n, err := a.Read(buffer)
 		if n > 0 {
 			if writeErr := x.caller.Write(buffer[:n]); writeErr != nil {
-				return &failure{reason: ReasonGone, result: balance.Left, mayHaveRun: true, cause: writeErr}
+				return &failure{reason: ReasonGone, result: balance.Abandoned, mayHaveRun: true, cause: writeErr}
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -272,7 +272,7 @@
 	}
 	x.recordPiece()
 	if err := x.caller.Write(batch); err != nil {
-		return &failure{reason: ReasonGone, result: balance.Left, mayHaveRun: true, cause: err}
+		return &failure{reason: ReasonGone, result: balance.Abandoned, mayHaveRun: true, cause: err}
 	}
 	x.ticket.Pieces.Add(1)
 	x.forwardedEvents += reader.batchCount
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -61,10 +61,10 @@
 		if now.Sub(g.sums[from.Zone]) < sumAge {
 			return
 		}
-		s.Forget(now, sumName(from.Zone))
+		s.ForgetPeer(now, sumName(from.Zone))
 		g.direct[from.ID] = from.Zone
 	}
-	s.Heard(now, string(from.ID), reportOf(m))
+	s.ApplyReport(now, string(from.ID), reportOf(m))
 }
 
 // heardLoads takes in what another router tells between reports.
@@ -72,12 +72,12 @@
 	zone := g.roster.Zone(from)
 	if zone != g.known.Zone && now.Sub(g.sums[zone]) < sumAge {
 		for _, l := range m.Added {
-			s.AddLoad(now, sumName(zone), l.Target, loadOf(l))
+			s.AddPeerLoad(now, sumName(zone), l.Target, loadOf(l))
 		}
 		return
 	}
 	for _, l := range m.Loads {
-		s.HeardLoad(now, string(from), l.Target, loadOf(l))
+		s.SetPeerLoad(now, string(from), l.Target, loadOf(l))
 	}
 	if zone == g.known.Zone {
 		g.zone.UpdateLoads(from, m.Loads)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -126,7 +126,7 @@
 	cold    *coldstart.Senders
 	coldNow coldTargets
 	// against is which requests sent in spite of what targets said are in the log.
-	against balance.Against
+	against balance.SentAgainstAdvice
 	// paused is how many rests that no target asked for are in the log.
 	paused int64
 	tally  tally
@@ -194,9 +194,9 @@
 	}, o.Seeds, random)
 	g.isolation.exchange = quarantine.NewExchange(g.isolation.state, g.roster)
 	state := balance.New(now, o.Zone, o.Limits, random)
-	state.Notify(g.tellLoad)
+	state.OnLongPrompt(g.tellLoad)
 	g.cold = coldstart.NewSenders(now, g.roster, self.ID)
-	state.OnCold(g.cold.SendLimit)
+	state.SetColdAllowance(g.cold.SendLimit)
 	g.loop = balance.NewLoop(state)
 	g.loop.Meter(metrics.ProcessorTime, o.Capacity)
 	g.loop.OnAwake(g.awake)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -118,7 +118,7 @@
 // of which another process is known has started again.
 func (g *Gateway) announced(s *balance.State, t balance.Target) bool {
 	known, listed := g.catalog.Target(t.ID)
-	return s.SaidLeaving(t) || !listed || known.Born == t.Born && known.Leaving
+	return s.ReportedLeaving(t) || !listed || known.Born == t.Born && known.Leaving
 }
 
 // restarted notes that other processes have started under the ids of targets: what broke off
--- a/internal/gateway/quarantine_internal_test.go
+++ b/internal/gateway/quarantine_internal_test.go
@@ -50,7 +50,7 @@
 			ID: "r", Service: "s", Goal: time.Second, Arrived: now, Deadline: now.Add(time.Second), Decision: make(chan balance.Decision, 1),
 		}
 		s.Arrive(now, t)
-		s.Leaves(now, t)
+		s.RecordLeaving(now, t)
 		s.Ended(now, t, balance.Answered)
 	})
 }
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -64,7 +64,7 @@
 	g.say()
 	g.send(g.roster.Tick(now))
 	g.logBeliefs(g.roster.Changes())
-	g.logThrottles(s.Throttles())
+	g.logThrottles(s.ThrottleNotices())
 	g.logTallies(now)
 	g.logCold(s, now)
 	g.logAdvice(s)
@@ -146,7 +146,7 @@
 		period += sumPeriod
 	}
 	s.SetReportPeriod(period)
-	s.SetOthers(g.roster.Others(now), len(serving))
+	s.SetPeers(g.roster.Others(now), len(serving))
 }
 
 // relays reports whether this router tells the sum of its zone. One that does not
@@ -190,11 +190,11 @@
 	g.sums[m.Zone] = now
 	for id, zone := range g.direct {
 		if zone == m.Zone {
-			s.Forget(now, string(id))
+			s.ForgetPeer(now, string(id))
 			delete(g.direct, id)
 		}
 	}
-	s.Heard(now, sumName(m.Zone), reportOf(m.Status))
+	s.ApplyReport(now, sumName(m.Zone), reportOf(m.Status))
 	g.catchUp(now, from, m.Status.Revisions)
 	if from.Zone != g.known.Zone {
 		m.Status.Revisions = g.catalog.Newest()
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -68,7 +68,7 @@
 
 // logCold logs how many targets are cold if that has changed.
 func (g *Gateway) logCold(s *balance.State, now time.Time) {
-	count, held := s.Cold(now)
+	count, held := s.ColdTargets(now)
 	if held != g.coldNow.held {
 		g.Metrics.coldHeld.Set(held)
 	}
