--- a/internal/throttle/coalesce.go
+++ b/internal/throttle/coalesce.go
@@ -1,27 +1,27 @@
 package throttle
 
 const (
-	// coalesceFrom is the part of the cores in use from which streams let events come
-	// together as long as they may: bursts are to find time left.
-	coalesceFrom = 0.6
-	// coalesceFall is what is left, from one look to the next, of how much they do so
-	// where less is in use, since it saves the very time that is free then; below
-	// coalesceLeast they stop. A shorter wait than the pause between two events takes
-	// time and saves none.
-	coalesceFall  = 0.95
-	coalesceLeast = 0.5
+	// coalesceUtilisation is the CPU utilisation, as a fraction of the cores, from which
+	// streams coalesce events for as long as they may, so that CPU time is left for bursts.
+	coalesceUtilisation = 0.6
+	// coalesceDecay is the factor by which the coalescing level falls per call while
+	// utilisation is lower: coalescing itself saves the CPU time that is then free, and a
+	// sudden stop would raise utilisation again. Below minCoalesceLevel coalescing stops:
+	// waiting for less than the gap between two events costs CPU time and saves none.
+	coalesceDecay    = 0.95
+	minCoalesceLevel = 0.5
 )
 
-// coalesceAt returns how much streams are to let events come together, from 0 (none)
-// to 1 (as long as callers accept), where they did so as much as last and the router
-// uses a part of its cores. Three quarters of the processor time of a request goes
-// into passing on events one by one.
-func coalesceAt(last, part float64) float64 {
-	if part >= coalesceFrom {
+// nextCoalesceLevel returns how long streams should hold events back to send them together,
+// from 0 (not at all) to 1 (as long as callers accept), given the previous level and the
+// router's CPU utilisation (0 to 1). Three quarters of the CPU time of a request goes into
+// passing on events one by one.
+func nextCoalesceLevel(last, utilisation float64) float64 {
+	if utilisation >= coalesceUtilisation {
 		return 1
 	}
-	if last*coalesceFall < coalesceLeast {
+	if last*coalesceDecay < minCoalesceLevel {
 		return 0
 	}
-	return last * coalesceFall
+	return last * coalesceDecay
 }
--- a/internal/throttle/control.go
+++ b/internal/throttle/control.go
@@ -1,8 +1,8 @@
-// Package throttle decides how much of each organisation's requests to engines a router
-// reads, and how much streams let events come together, by what its processor and the
-// engines take. The rest is refused from its first bytes. A Control is a plain state
-// machine: time comes in through arguments and one goroutine drives it; its Gates are for
-// goroutines that read requests.
+// Package throttle decides how many of each organisation's requests to engines a router reads,
+// and how far streams coalesce events, depending on the router's CPU utilisation and on how
+// much the engines accept. Other requests are rejected from their first bytes. A Controller is
+// a plain state machine: time is passed in as an argument and one goroutine drives it; its
+// Gates may be used by the goroutines that read requests.
 package throttle
 
 import (
@@ -11,197 +11,212 @@
 )
 
 const (
-	// flowWeight is the weight of the newest tick in the running averages of an
+	// averageWeight is the weight of the newest tick in the running averages of an
 	// organisation's requests.
-	flowWeight = 0.05
-	// gateShare is how many requests a gate lets in for each that was sent
-	// lately: room may have grown.
-	gateShare = 2
-	// gateLeast is how many requests a gate lets in a tick in any case: ten a
-	// second, to find out whether there is room again.
-	gateLeast = 0.2
-	// gateTime is for how long a gate stays that has refused nothing.
-	gateTime = 500 * time.Millisecond
-	// negligibleFlow is an average of sends a tick that is none.
-	negligibleFlow = 0.01
+	averageWeight = 0.05
+	// admitFactor is how many requests a gate admits for each request recently sent to an
+	// engine: more than one, since engines may have more capacity by now.
+	admitFactor = 2
+	// minAdmitsPerTick is how many requests a gate admits per tick in any case, ten a second,
+	// to find out whether engines accept requests again.
+	minAdmitsPerTick = 0.2
+	// gateIdleTimeout is how long a gate must have rejected nothing before it is removed.
+	gateIdleTimeout = 500 * time.Millisecond
+	// negligibleSentAverage is the average number of requests sent per tick below which an
+	// organisation's state is dropped.
+	negligibleSentAverage = 0.01
 
-	// busyLimit is the part of the processor that a router uses at most before
-	// it throttles the organisation that makes it send most: beyond, all that
-	// it does comes late, also what other routers tell it.
-	busyLimit = 0.8
-	// busyShare is the part of the processor time of all sends from which that
-	// organisation is throttled: it is no use where many send a little.
-	busyShare = 0.5
-	// busyCut and busyRise bound what the processor time allowed is multiplied with at
-	// each look: by how much the part used differs from the limit. With steps of 0.8
-	// down and 1.05 up, bursts kept it low: 222 instead of 322 requests a second were
-	// served where 600 came and 0.19 cores were there (the play of one small box).
-	busyCut  = 0.8
-	busyRise = 1.2
-	// busyLeast is the part of the cores that it is let use all the same, and shareLeast
-	// that where it had nothing of its share yet: where refusals alone keep the processor
-	// busy, nothing would be left for it.
-	busyLeast  = 0.125
-	shareLeast = 0.4
-	// busyStep is the part of the cores by which it rises in any case where the
-	// processor is not busy.
-	busyStep = 0.0125
+	// maxCPUUtilisation is the CPU utilisation (0 to 1) above which a router throttles the
+	// organisation that causes most of its load: beyond it everything is late, including
+	// messages from other routers.
+	maxCPUUtilisation = 0.8
+	// dominantCPUFraction is the fraction of the CPU time of all requests sent that an
+	// organisation must exceed to be throttled: throttling one of many small senders would not
+	// help.
+	dominantCPUFraction = 0.5
+	// minAllowanceFactor and maxAllowanceFactor bound the factor by which an organisation's
+	// CPU time allowance changes per update; the factor is the ratio of maxCPUUtilisation to
+	// the utilisation. Fixed steps of 0.8 down and 1.05 up kept the allowance too low under
+	// bursty load: 222 instead of 322 requests a second were served with 600 arriving and 0.19
+	// cores available (simulation of one small box).
+	minAllowanceFactor = 0.8
+	maxAllowanceFactor = 1.2
+	// minCPUFraction is the fraction of the cores that a throttled organisation may always
+	// use, and minCPUFractionUnserved the same for an organisation that has received nothing
+	// of its fair share: where rejections alone keep the CPU busy, it would get nothing
+	// otherwise.
+	minCPUFraction         = 0.125
+	minCPUFractionUnserved = 0.4
+	// allowanceStep is the fraction of the cores by which the allowance also rises per update
+	// while the CPU is below its limit.
+	allowanceStep = 0.0125
 )
 
-// flow is what becomes of an organisation's requests to engines.
+// flow is the throttling state of one organisation's requests to engines.
 type flow struct {
-	// sent is the number sent since the last tick, pace its running average.
-	sent int
-	pace float64
-	// spent is the processor time that those take, in nanoseconds, and effort its
+	// sent is the number of requests sent since the last tick, sentAverage its running
+	// average.
+	sent        int
+	sentAverage float64
+	// cpuTime is the CPU time that these requests take, in nanoseconds, and cpuTimeAverage its
 	// running average.
-	spent, effort float64
-	// crowded is the number refused since the last tick because too many waited.
-	crowded int
-	// most is how much processor time a tick is allowed, in nanoseconds.
-	most float64
-	// gate is nil as long as all may come in.
+	cpuTime, cpuTimeAverage float64
+	// queueFull is the number of requests rejected since the last tick because too many of the
+	// organisation waited.
+	queueFull int
+	// cpuAllowance is the CPU time that the organisation may use per tick, in nanoseconds;
+	// infinite if unlimited.
+	cpuAllowance float64
+	// gate is nil while all requests are admitted.
 	gate *Gate
-	// arrived is the running average of what comes to the gate in a tick, by grade.
-	arrived [grades]float64
-	// credit is the part of a request that the gate may yet let in.
-	credit float64
-	// refused is when a request was last refused for the others, and lately how
-	// many the gate refused in the last tick.
-	refused time.Time
-	lately  int
-	// since is when the gate was set up, told when that was last told, crowdedOut
-	// and busiedOut how many it refused since because too many wait and for the
-	// processor.
-	since, told           time.Time
-	crowdedOut, busiedOut int
+	// arrivedAverage is the running average of the CPU time that the requests arriving at the
+	// gate in a tick would take, in nanoseconds, by grade.
+	arrivedAverage [grades]float64
+	// admitCredit is the fraction of a request carried over to the number that the gate admits
+	// in the next tick.
+	admitCredit float64
+	// lastRejected is when a request was last rejected, and rejectedLastTick how many the gate
+	// rejected in the last tick.
+	lastRejected     time.Time
+	rejectedLastTick int
+	// throttledSince is when the gate was set up, lastNotice when it was last reported, and
+	// rejectedQueueFull and rejectedBusy how many requests it has rejected since then, because
+	// too many were waiting and because the router's CPU was busy.
+	throttledSince, lastNotice      time.Time
+	rejectedQueueFull, rejectedBusy int
 }
 
-// Controller is what becomes of the requests that organisations send to engines through a
-// router. Use New to make one.
+// Controller throttles the requests that organisations send to engines through a router. Use
+// New to create one.
 type Controller struct {
-	// tick is the time between calls of Gates, waitingMost how many requests of an
+	// tick is the interval between calls of Gates, and maxWaiting how many requests of an
 	// organisation may wait for an engine.
-	tick        time.Duration
-	waitingMost int
-	flows       map[string]*flow
-	// busy is the part of its cores that the router used last, coalesce how much streams
-	// let events come together, and pieces how many pieces a token of an answer comes in.
-	busy, coalesce, pieces float64
-	notices                []Notice
+	tick       time.Duration
+	maxWaiting int
+	flows      map[string]*flow
+	// cpuUtilisation is the fraction of its cores that the router last used, coalesceLevel how
+	// far streams coalesce events (see CoalesceLevel), and piecesPerToken the running average
+	// of the number of pieces in which a token of an answer arrives.
+	cpuUtilisation, coalesceLevel, piecesPerToken float64
+	notices                                       []Notice
 }
 
-// New returns a control that lets all in. Gates is to be called each tick; waitingMost is
-// how many requests of an organisation may wait for an engine.
-func New(tick time.Duration, waitingMost int) *Controller {
-	return &Controller{tick: tick, waitingMost: waitingMost, flows: map[string]*flow{}, pieces: firstPieces}
+// New returns a controller that admits everything. Gates must be called once per tick;
+// maxWaiting is how many requests of an organisation may wait for an engine.
+func New(tick time.Duration, maxWaiting int) *Controller {
+	return &Controller{tick: tick, maxWaiting: maxWaiting, flows: map[string]*flow{}, piecesPerToken: initialPiecesPerToken}
 }
 
-// CPUUtilisation returns the part of its cores that the router used last.
-func (c *Controller) CPUUtilisation() float64 { return c.busy }
+// CPUUtilisation returns the fraction of its cores that the router last used.
+func (c *Controller) CPUUtilisation() float64 { return c.cpuUtilisation }
 
-// CoalesceLevel returns how much streams should let events come together to save the processor's
-// time, from 0 (none) to 1 (as long as callers accept).
-func (c *Controller) CoalesceLevel() float64 { return c.coalesce }
+// CoalesceLevel returns how long streams should hold events back to send them together and so
+// save CPU time, from 0 (not at all) to 1 (as long as callers accept).
+func (c *Controller) CoalesceLevel() float64 { return c.coalesceLevel }
 
-// RecordSent notes a request of an organisation that is sent to an engine.
+// RecordSent records that a request of an organisation is sent to an engine.
 func (c *Controller) RecordSent(organisation string, o RequestSize) {
-	c.flow(organisation).note(o.effort(c.pieces))
+	c.flow(organisation).recordSent(o.cpuTime(c.piecesPerToken))
 }
 
-// RecordQueueFull notes a request that was refused because too many of its organisation wait.
-func (c *Controller) RecordQueueFull(organisation string) { c.flow(organisation).crowded++ }
+// RecordQueueFull records that a request was rejected because too many requests of its
+// organisation were waiting.
+func (c *Controller) RecordQueueFull(organisation string) { c.flow(organisation).queueFull++ }
 
-// RejectedLastTick returns how many requests of an organisation were refused unread in the last tick.
+// RejectedLastTick returns how many requests of an organisation were rejected unread in the
+// last tick.
 func (c *Controller) RejectedLastTick(organisation string) int {
 	if f := c.flows[organisation]; f != nil {
-		return f.lately
+		return f.rejectedLastTick
 	}
 	return 0
 }
 
-// ObservePieces learns from a stream in how many pieces a token comes.
+// ObservePieces updates the average number of pieces per token from an ended stream, which
+// brought this many pieces and tokens.
 func (c *Controller) ObservePieces(pieces, tokens int) {
-	c.pieces += piecesWeight * (float64(pieces)/float64(tokens) - c.pieces)
+	c.piecesPerToken += piecesAverageWeight * (float64(pieces)/float64(tokens) - c.piecesPerToken)
 }
 
 func (c *Controller) flow(organisation string) *flow {
 	f := c.flows[organisation]
 	if f == nil {
-		f = &flow{most: math.Inf(1)}
+		f = &flow{cpuAllowance: math.Inf(1)}
 		c.flows[organisation] = f
 	}
 	return f
 }
 
-// note counts a request that is sent.
-func (f *flow) note(effort time.Duration) {
+// recordSent records that a request is sent that takes this much CPU time.
+func (f *flow) recordSent(cpuTime time.Duration) {
 	f.sent++
-	f.spent += float64(effort)
+	f.cpuTime += float64(cpuTime)
 }
 
-// average takes the last tick into the running averages.
-func (f *flow) average() {
-	f.pace += flowWeight * (float64(f.sent) - f.pace)
-	f.effort += flowWeight * (f.spent - f.effort)
-	f.sent, f.spent = 0, 0
+// updateAverages adds the last tick to the running averages and starts a new tick.
+func (f *flow) updateAverages() {
+	f.sentAverage += averageWeight * (float64(f.sent) - f.sentAverage)
+	f.cpuTimeAverage += averageWeight * (f.cpuTime - f.cpuTimeAverage)
+	f.sent, f.cpuTime = 0, 0
 }
 
-// SetCPUUtilisation notes which part of its cores the router used lately, lets streams coalesce
-// accordingly, and throttles the organisation that takes most if that is too much.
-func (c *Controller) SetCPUUtilisation(now time.Time, part, cores float64, account func(organisation string) ShareStatus) {
-	c.busy = part
-	c.coalesce = coalesceAt(c.coalesce, part)
+// SetCPUUtilisation records the fraction of its cores that the router recently used and
+// updates the coalescing level. Above maxCPUUtilisation it lowers the CPU allowance of the
+// organisation that uses most of the CPU time; otherwise it raises all allowances.
+func (c *Controller) SetCPUUtilisation(now time.Time, utilisation, cores float64, account func(organisation string) ShareStatus) {
+	c.cpuUtilisation = utilisation
+	c.coalesceLevel = nextCoalesceLevel(c.coalesceLevel, utilisation)
 	total := 0.0
 	for _, f := range c.flows {
-		total += f.effort
+		total += f.cpuTimeAverage
 	}
 	tick := cores * float64(c.tick)
 	for name, f := range c.flows {
-		switch change := min(max(busyLimit/max(part, busyLeast), busyCut), busyRise); {
-		case part <= busyLimit:
-			f.most = f.most*change + tick*busyStep
-		case f.effort > total*busyShare:
-			f.most = max(min(f.most, f.effort)*change, tick*account(name).least())
-			f.shut(now)
-			f.gate.busy.Store(true)
+		switch factor := min(max(maxCPUUtilisation/max(utilisation, minCPUFraction), minAllowanceFactor), maxAllowanceFactor); {
+		case utilisation <= maxCPUUtilisation:
+			f.cpuAllowance = f.cpuAllowance*factor + tick*allowanceStep
+		case f.cpuTimeAverage > total*dominantCPUFraction:
+			f.cpuAllowance = max(min(f.cpuAllowance, f.cpuTimeAverage)*factor, tick*account(name).cpuFloor())
+			f.ensureGate(now)
+			f.gate.cpuBound.Store(true)
 		}
 	}
 }
 
-// ShareStatus is what else is known of an organisation, for notices.
+// ShareStatus is how an organisation and its competitors stand in the fair sharing of engines.
 type ShareStatus struct {
-	// Served is what it got lately, FairShare what is an organisation's share, and LeastServedWaiting the
-	// least that one got which waits, infinite if none does, all in tokens.
+	// Served is how much the organisation was served recently, FairShare what its fair share
+	// is, and LeastServedWaiting how much the least served organisation with waiting requests
+	// was served (infinite if none waits), all in tokens.
 	Served, FairShare, LeastServedWaiting float64
 }
 
-// least returns the part of the cores that an organisation is let use however busy they are:
-// the more, the further it is behind its share. Beyond its share it takes from the others what
-// it is let in for.
-func (a ShareStatus) least() float64 {
-	behind := 1.0
+// cpuFloor returns the fraction of the cores that an organisation may use however busy they
+// are. It is larger the further the organisation is below its fair share; above that, whatever
+// it is admitted for is taken from other organisations.
+func (a ShareStatus) cpuFloor() float64 {
+	deficit := 1.0
 	if a.FairShare > 0 {
-		behind = max(1-a.Served/a.FairShare, 0)
+		deficit = max(1-a.Served/a.FairShare, 0)
 	}
-	return busyLeast + (shareLeast-busyLeast)*behind
+	return minCPUFraction + (minCPUFractionUnserved-minCPUFraction)*deficit
 }
 
-// Gates returns the gates that are to hold until the next tick, by organisation; nil if
-// there are none. Waiting has how many requests of each wait for an engine; account is asked
-// for those of which there is a notice.
+// Gates updates the gates and returns those that apply until the next tick, by organisation;
+// nil if there are none. waiting holds the number of each organisation's requests that wait
+// for an engine; account is called for organisations for which a notice is recorded.
 func (c *Controller) Gates(now time.Time, waiting map[string]int, account func(organisation string) ShareStatus) map[string]*Gate {
 	var out map[string]*Gate
 	for name, f := range c.flows {
-		f.average()
-		if f.crowded > 0 {
-			f.shut(now)
+		f.updateAverages()
+		if f.queueFull > 0 {
+			f.ensureGate(now)
 		}
 		if f.gate != nil {
-			c.turn(now, name, f, waiting[name], account)
+			c.updateGate(now, name, f, waiting[name], account)
 		}
 		if f.gate == nil {
-			if f.pace < negligibleFlow {
+			if f.sentAverage < negligibleSentAverage {
 				delete(c.flows, name)
 			}
 			continue
@@ -214,67 +229,68 @@
 	return out
 }
 
-// turn sets what a gate lets in until the next tick, or takes it away.
-func (c *Controller) turn(now time.Time, organisation string, f *flow, waiting int, account func(string) ShareStatus) {
-	began := f.since.IsZero()
+// updateGate sets how much a gate admits until the next tick, or removes it, and records a
+// notice when throttling begins, ends, or has gone on for noticeInterval.
+func (c *Controller) updateGate(now time.Time, organisation string, f *flow, waiting int, account func(string) ShareStatus) {
+	began := f.throttledSince.IsZero()
 	if began {
-		f.since = now
+		f.throttledSince = now
 	}
-	f.gate.pieces.Store(math.Float64bits(c.pieces))
-	f.turn(now, c.waitingMost-waiting)
+	f.gate.piecesPerToken.Store(math.Float64bits(c.piecesPerToken))
+	f.updateGate(now, c.maxWaiting-waiting)
 	ended := f.gate == nil
-	if !began && !ended && now.Sub(f.told) < noticePeriod {
+	if !began && !ended && now.Sub(f.lastNotice) < noticeInterval {
 		return
 	}
-	f.told = now
-	c.notice(Notice{
-		Organisation: organisation, Began: began, Ended: ended, CPUUtilisation: c.busy, CoalesceLevel: c.coalesce, CoreLimit: f.cores(c.tick),
-		Waiting: waiting, ShareStatus: account(organisation), RejectedQueueFull: f.crowdedOut, RejectedBusy: f.busiedOut, Duration: now.Sub(f.since),
+	f.lastNotice = now
+	c.addNotice(Notice{
+		Organisation: organisation, Began: began, Ended: ended, CPUUtilisation: c.cpuUtilisation, CoalesceLevel: c.coalesceLevel, CoreLimit: f.coreLimit(c.tick),
+		Waiting: waiting, ShareStatus: account(organisation), RejectedQueueFull: f.rejectedQueueFull, RejectedBusy: f.rejectedBusy, Duration: now.Sub(f.throttledSince),
 	})
 	if ended {
-		f.since, f.crowdedOut, f.busiedOut = time.Time{}, 0, 0
+		f.throttledSince, f.rejectedQueueFull, f.rejectedBusy = time.Time{}, 0, 0
 	}
 }
 
-// cores returns how much of a core the organisation may use, 0 if that is not bounded.
-func (f *flow) cores(tick time.Duration) float64 {
-	if math.IsInf(f.most, 1) {
+// coreLimit returns how much of a core the organisation may use, 0 if that is unlimited.
+func (f *flow) coreLimit(tick time.Duration) float64 {
+	if math.IsInf(f.cpuAllowance, 1) {
 		return 0
 	}
-	return f.most / float64(tick)
+	return f.cpuAllowance / float64(tick)
 }
 
-// shut sets up a gate, or keeps the one that is there.
-func (f *flow) shut(now time.Time) {
-	f.refused = now
-	f.crowded = 0
+// ensureGate sets up a gate if there is none.
+func (f *flow) ensureGate(now time.Time) {
+	f.lastRejected = now
+	f.queueFull = 0
 	if f.gate == nil {
 		f.gate = &Gate{}
-		f.arrived = [grades]float64{}
+		f.arrivedAverage = [grades]float64{}
 	}
 }
 
-// turn sets how much the gate lets in until the next tick, or takes it away; room is how
-// many more may wait for an engine.
-func (f *flow) turn(now time.Time, room int) {
-	crowded, busied := int(f.gate.crowded.Swap(0)), int(f.gate.busied.Swap(0))
-	f.crowdedOut += crowded
-	f.busiedOut += busied
-	f.lately = crowded + busied
-	if f.lately > 0 {
-		f.refused = now
+// updateGate sets how much the gate admits until the next tick, or removes it; room is how
+// many more requests may wait for an engine.
+func (f *flow) updateGate(now time.Time, room int) {
+	queueFull, busy := int(f.gate.rejectedQueueFull.Swap(0)), int(f.gate.rejectedBusy.Swap(0))
+	f.rejectedQueueFull += queueFull
+	f.rejectedBusy += busy
+	f.rejectedLastTick = queueFull + busy
+	if f.rejectedLastTick > 0 {
+		f.lastRejected = now
 	}
-	if now.Sub(f.refused) > gateTime {
-		f.gate, f.credit, f.lately, f.most = nil, 0, 0, math.Inf(1)
+	if now.Sub(f.lastRejected) > gateIdleTimeout {
+		f.gate, f.admitCredit, f.rejectedLastTick, f.cpuAllowance = nil, 0, 0, math.Inf(1)
 		return
 	}
-	for i := range f.arrived {
-		f.arrived[i] += flowWeight * (float64(f.gate.arrived[i].Swap(0)) - f.arrived[i])
+	for i := range f.arrivedAverage {
+		f.arrivedAverage[i] += averageWeight * (float64(f.gate.arrivedCPUTime[i].Swap(0)) - f.arrivedAverage[i])
 	}
-	f.gate.allow(&f.arrived, f.most)
-	f.credit += gateShare*f.pace + gateLeast
-	whole := int64(f.credit)
-	f.credit -= float64(whole)
-	left := max(f.gate.left.Load(), 0) + whole
-	f.gate.left.Store(min(left, int64(max(room, 0))))
+	f.gate.setAllowance(&f.arrivedAverage, f.cpuAllowance)
+	f.admitCredit += admitFactor*f.sentAverage + minAdmitsPerTick
+	whole := int64(f.admitCredit)
+	f.admitCredit -= float64(whole)
+	left := max(f.gate.admitsLeft.Load(), 0) + whole
+	f.gate.admitsLeft.Store(min(left, int64(max(room, 0))))
 }
--- a/internal/throttle/control_test.go
+++ b/internal/throttle/control_test.go
@@ -7,14 +7,14 @@
 
 func TestIdleGateIsRemoved(t *testing.T) {
 	now := time.Unix(1000, 0)
-	f := &flow{gate: &Gate{}, refused: now}
+	f := &flow{gate: &Gate{}, lastRejected: now}
 	f.gate.Check(RequestSize{})
-	f.turn(now, 0)
-	if f.lately != 1 || f.gate == nil {
-		t.Fatalf("%d refused lately, gate %v", f.lately, f.gate)
+	f.updateGate(now, 0)
+	if f.rejectedLastTick != 1 || f.gate == nil {
+		t.Fatalf("%d rejected in the last tick, gate %v", f.rejectedLastTick, f.gate)
 	}
-	f.turn(now.Add(gateTime+1), 0)
+	f.updateGate(now.Add(gateIdleTimeout+1), 0)
 	if f.gate != nil {
-		t.Error("the gate stays although it refuses nothing")
+		t.Error("the gate is still set although it rejects nothing")
 	}
 }
--- a/internal/throttle/gate.go
+++ b/internal/throttle/gate.go
@@ -5,125 +5,125 @@
 	"sync/atomic"
 )
 
-// worstShare is the part of a busy processor's time that is open to requests below
-// the cut, so that no kind of request is refused for good.
-const worstShare = 0.05
+// belowCutFraction is the fraction of the CPU allowance that is reserved for requests below
+// the cut grade, so that no kind of request is rejected forever.
+const belowCutFraction = 0.05
 
-// Reason is why a request is refused unread.
+// Reason is why a request is rejected unread.
 type Reason string
 
 // The reasons.
 const (
-	// QueueFull means that too many requests of the organisation wait, and Busy that the
-	// router's processor serves no more of them.
+	// QueueFull means that too many requests of the organisation are waiting, and RouterBusy
+	// that the router has no CPU time left for the request.
 	QueueFull  Reason = "organisation-queue-full"
 	RouterBusy Reason = "router-busy"
 )
 
-// Gate bounds which requests to engines a router reads of an organisation that
-// sends many times what engines take, or what the router's processor can do. The
-// rest is refused from its first bytes: a box of 0.2 cores that read and queued 900
-// requests a second to send 30 of them was lost to the other routers for seconds,
-// and sent none.
+// Gate limits which requests to engines a router reads of an organisation that sends many
+// times what the engines or the router's CPU can handle. All others are rejected from their
+// first bytes: a box with 0.2 cores that read and queued 900 requests a second to send 30 of
+// them was unreachable for the other routers for seconds, and sent none.
 type Gate struct {
-	// left is how many may still come in until the next tick.
-	left atomic.Int64
-	// crowded counts those that were refused since the last tick because too many
-	// wait, busied those for the processor.
-	crowded, busied atomic.Int64
+	// admitsLeft is how many requests may still be admitted until the next tick.
+	admitsLeft atomic.Int64
+	// rejectedQueueFull counts the requests rejected since the last tick because too many were
+	// waiting, rejectedBusy those rejected because the CPU was busy.
+	rejectedQueueFull, rejectedBusy atomic.Int64
 
-	// busy is set if the processor does no more. Then all requests above the grade
-	// cut come in, and of that grade and of those below it some, for which atCut and
-	// below have the processor time left, in nanoseconds.
-	busy              atomic.Bool
-	cut, atCut, below atomic.Int64
-	// pieces has the bits of how many pieces a token of an answer comes in.
-	pieces atomic.Uint64
-	// arrived is the processor time that all requests would take that came since
-	// the last tick, by grade, in nanoseconds.
-	arrived [grades]atomic.Int64
+	// cpuBound is set while CPU time limits admission. Requests above cutGrade are then all
+	// admitted; those of cutGrade and those below it are admitted while cutTimeLeft and
+	// belowTimeLeft, in nanoseconds of CPU time, are positive.
+	cpuBound                             atomic.Bool
+	cutGrade, cutTimeLeft, belowTimeLeft atomic.Int64
+	// piecesPerToken holds the float64 bits of the number of pieces in which a token of an
+	// answer arrives.
+	piecesPerToken atomic.Uint64
+	// arrivedCPUTime is the CPU time that all requests that arrived since the last tick would
+	// take, by grade, in nanoseconds.
+	arrivedCPUTime [grades]atomic.Int64
 }
 
-// Check returns why a request is to be refused unread, or "".
+// Check returns why a request would be rejected now, or "". Unlike Admit, it uses up no
+// allowance for a request that would be admitted.
 func (g *Gate) Check(o RequestSize) Reason {
-	grade, effort := g.weigh(o)
+	grade, cost := g.gradeAndCost(o)
 	switch {
-	case !g.mayPass(grade):
-		return g.refuse(grade, effort, RouterBusy)
-	case g.left.Load() <= 0:
-		return g.refuse(grade, effort, QueueFull)
+	case !g.hasTime(grade):
+		return g.reject(grade, cost, RouterBusy)
+	case g.admitsLeft.Load() <= 0:
+		return g.reject(grade, cost, QueueFull)
 	}
 	return ""
 }
 
-// Admit lets a request in, or returns why it does not.
+// Admit admits a request and returns "", or returns why the request is rejected.
 func (g *Gate) Admit(o RequestSize) Reason {
-	grade, effort := g.weigh(o)
+	grade, cost := g.gradeAndCost(o)
 	switch {
-	case !g.mayPass(grade):
-		return g.refuse(grade, effort, RouterBusy)
-	case g.left.Add(-1) < 0:
-		return g.refuse(grade, effort, QueueFull)
+	case !g.hasTime(grade):
+		return g.reject(grade, cost, RouterBusy)
+	case g.admitsLeft.Add(-1) < 0:
+		return g.reject(grade, cost, QueueFull)
 	}
-	g.arrived[grade].Add(effort)
-	if left := g.timeFor(grade); left != nil {
-		left.Add(-effort)
+	g.arrivedCPUTime[grade].Add(cost)
+	if left := g.timeLeft(grade); left != nil {
+		left.Add(-cost)
 	}
 	return ""
 }
 
-// weigh returns a request's grade and the processor time that it takes, in
-// nanoseconds.
-func (g *Gate) weigh(o RequestSize) (grade int, effort int64) {
-	pieces := math.Float64frombits(g.pieces.Load())
-	return o.grade(pieces), int64(o.effort(pieces))
+// gradeAndCost returns a request's grade and the CPU time that it takes, in nanoseconds.
+func (g *Gate) gradeAndCost(o RequestSize) (grade int, cost int64) {
+	pieces := math.Float64frombits(g.piecesPerToken.Load())
+	return o.grade(pieces), int64(o.cpuTime(pieces))
 }
 
-// refuse counts a request that is refused for a reason, which it returns.
-func (g *Gate) refuse(grade int, effort int64, why Reason) Reason {
-	g.arrived[grade].Add(effort)
-	if why == RouterBusy {
-		g.busied.Add(1)
-		return why
+// reject counts a rejected request and returns the reason.
+func (g *Gate) reject(grade int, cost int64, reason Reason) Reason {
+	g.arrivedCPUTime[grade].Add(cost)
+	if reason == RouterBusy {
+		g.rejectedBusy.Add(1)
+		return reason
 	}
-	g.crowded.Add(1)
-	return why
+	g.rejectedQueueFull.Add(1)
+	return reason
 }
 
-// mayPass reports whether the processor has time for a request of a grade.
-func (g *Gate) mayPass(grade int) bool {
-	left := g.timeFor(grade)
+// hasTime reports whether there is CPU time for a request of a grade.
+func (g *Gate) hasTime(grade int) bool {
+	left := g.timeLeft(grade)
 	return left == nil || left.Load() > 0
 }
 
-// timeFor returns the processor time left for a grade; nil if it is not bounded.
-func (g *Gate) timeFor(grade int) *atomic.Int64 {
-	cut := int(g.cut.Load())
+// timeLeft returns the counter of the CPU time left for a grade, nil if that is unlimited.
+func (g *Gate) timeLeft(grade int) *atomic.Int64 {
+	cut := int(g.cutGrade.Load())
 	switch {
-	case !g.busy.Load() || grade > cut:
+	case !g.cpuBound.Load() || grade > cut:
 		return nil
 	case grade == cut:
-		return &g.atCut
+		return &g.cutTimeLeft
 	}
-	return &g.below
+	return &g.belowTimeLeft
 }
 
-// allow lets as much in until the next tick as takes most of the processor's time,
-// in nanoseconds, given what arrives in a tick.
-func (g *Gate) allow(arrived *[grades]float64, most float64) {
-	if math.IsInf(most, 1) {
-		g.cut.Store(-1)
+// setAllowance distributes a CPU time allowance for the next tick, in nanoseconds, over the
+// grades, given the CPU time that the requests arriving in a tick would take.
+func (g *Gate) setAllowance(arrived *[grades]float64, allowance float64) {
+	if math.IsInf(allowance, 1) {
+		g.cutGrade.Store(-1)
 		return
 	}
-	worst := most * worstShare
-	cut, left := cutAt(arrived, most-worst)
-	g.cut.Store(int64(cut))
-	refill(&g.atCut, left)
-	refill(&g.below, worst)
+	below := allowance * belowCutFraction
+	cut, left := findCutGrade(arrived, allowance-below)
+	g.cutGrade.Store(int64(cut))
+	refill(&g.cutTimeLeft, left)
+	refill(&g.belowTimeLeft, below)
 }
 
-// refill adds a tick's time to what is left. A debt stays, and what was not used
-// for no longer than a tick.
+// refill adds a tick's time to what is left. A deficit is carried over, and so is at most one
+// tick's unused time.
 func refill(left *atomic.Int64, tick float64) {
 	left.Store(min(left.Load(), int64(tick)) + int64(tick))
 }
--- a/internal/throttle/notice.go
+++ b/internal/throttle/notice.go
@@ -3,43 +3,41 @@
 import "time"
 
 const (
-	// noticesMost bounds what is remembered of throttled organisations between two
-	// looks, in entries.
-	noticesMost = 16
-	// noticePeriod is the time between two entries of an organisation that is
-	// throttled all the while.
-	noticePeriod = time.Second
+	// maxNotices bounds the notices kept between two calls of Notices.
+	maxNotices = 16
+	// noticeInterval is the time between two notices about an organisation that stays
+	// throttled.
+	noticeInterval = time.Second
 )
 
-// Notice says that the router refuses some of an organisation's requests unread.
+// Notice reports that the router rejects some of an organisation's requests unread.
 type Notice struct {
 	Organisation string
-	// Began and Ended are set where it began and ended to do so.
+	// Began and Ended are set in the first and last notice of a period of throttling.
 	Began, Ended bool
-	// CPUUtilisation is the part of its cores that the router used last, and CoalesceLevel how much
-	// streams let events come together, from 0 to 1.
+	// CPUUtilisation is the fraction of its cores that the router last used, and CoalesceLevel
+	// how far streams coalesce events, from 0 to 1.
 	CPUUtilisation, CoalesceLevel float64
-	// CoreLimit is how much of a core the organisation may use, 0 if that is not
-	// bounded.
+	// CoreLimit is how much of a core the organisation may use, 0 if that is unlimited.
 	CoreLimit float64
-	// Waiting is how many of its requests wait for an engine.
+	// Waiting is the number of the organisation's requests that wait for an engine.
 	Waiting int
 	ShareStatus
-	// RejectedQueueFull and RejectedBusy are how many were refused unread since it began, because
-	// too many wait and for the processor.
+	// RejectedQueueFull and RejectedBusy are how many requests were rejected unread since
+	// throttling began, because too many were waiting and because the CPU was busy.
 	RejectedQueueFull, RejectedBusy int
-	// Duration is for how long it has gone on.
+	// Duration is how long the organisation has been throttled.
 	Duration time.Duration
 }
 
-func (c *Controller) notice(n Notice) {
-	if len(c.notices) < noticesMost {
+// addNotice keeps a notice for Notices, unless there are too many.
+func (c *Controller) addNotice(n Notice) {
+	if len(c.notices) < maxNotices {
 		c.notices = append(c.notices, n)
 	}
 }
 
-// Notices returns which organisations the router throttled since the last call, the first
-// few of them.
+// Notices returns the notices since the last call, at most the first maxNotices.
 func (c *Controller) Notices() []Notice {
 	out := c.notices
 	c.notices = nil
--- a/internal/throttle/offer_test.go
+++ b/internal/throttle/offer_test.go
@@ -7,15 +7,15 @@
 )
 
 func TestNextCoalesceLevel(t *testing.T) {
-	for name, c := range map[string]struct{ last, part, want float64 }{
-		"enough processor time":   {last: 0, part: 0.3, want: 0},
-		"short of it":             {last: 0, part: 0.6, want: 1},
-		"short of it for a while": {last: 1, part: 0.9, want: 1},
-		"free since a moment":     {last: 1, part: 0.4, want: 0.95},
-		"free for long":           {last: 0.52, part: 0.4, want: 0},
+	for name, c := range map[string]struct{ last, utilisation, want float64 }{
+		"idle":                {last: 0, utilisation: 0.3, want: 0},
+		"busy":                {last: 0, utilisation: 0.6, want: 1},
+		"busy for a while":    {last: 1, utilisation: 0.9, want: 1},
+		"idle since a moment": {last: 1, utilisation: 0.4, want: 0.95},
+		"idle for long":       {last: 0.52, utilisation: 0.4, want: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := coalesceAt(c.last, c.part); got != c.want {
+			if got := nextCoalesceLevel(c.last, c.utilisation); got != c.want {
 				t.Errorf("%g, want %g", got, c.want)
 			}
 		})
@@ -33,17 +33,17 @@
 func TestFindCutGrade(t *testing.T) {
 	arrived := [grades]float64{2: 10, 5: 20, 9: 30}
 	for name, c := range map[string]struct {
-		most, left float64
-		grade      int
+		allowance, left float64
+		grade           int
 	}{
-		"all fit":              {most: 60, grade: -1, left: 0},
-		"the best alone":       {most: 30, grade: 5, left: 0},
-		"a part of the middle": {most: 42, grade: 5, left: 12},
-		"a part of the worst":  {most: 55, grade: 2, left: 5},
-		"nothing":              {most: 0, grade: 9, left: 0},
+		"all fit":                    {allowance: 60, grade: -1, left: 0},
+		"the best grade alone":       {allowance: 30, grade: 5, left: 0},
+		"a part of the middle grade": {allowance: 42, grade: 5, left: 12},
+		"a part of the worst grade":  {allowance: 55, grade: 2, left: 5},
+		"nothing":                    {allowance: 0, grade: 9, left: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if grade, left := cutAt(&arrived, c.most); grade != c.grade || left != c.left {
+			if grade, left := findCutGrade(&arrived, c.allowance); grade != c.grade || left != c.left {
 				t.Errorf("grade %d, %g left, want %d and %g", grade, left, c.grade, c.left)
 			}
 		})
@@ -52,26 +52,26 @@
 
 func TestGateAdmitsSomeOfEachKind(t *testing.T) {
 	long, chatty := RequestSize{Input: 9190, Output: 50}, RequestSize{Input: 715, Output: 280}
-	f := &flow{most: 3e6, gate: &Gate{}}
-	f.gate.busy.Store(true)
-	f.gate.left.Store(1 << 30)
-	f.gate.pieces.Store(math.Float64bits(0.14))
-	read := map[RequestSize]int{}
+	f := &flow{cpuAllowance: 3e6, gate: &Gate{}}
+	f.gate.cpuBound.Store(true)
+	f.gate.admitsLeft.Store(1 << 30)
+	f.gate.piecesPerToken.Store(math.Float64bits(0.14))
+	admitted := map[RequestSize]int{}
 	const ticks, each = 500, 10
 	for range ticks {
-		for i := range f.arrived {
-			f.arrived[i] += flowWeight * (float64(f.gate.arrived[i].Swap(0)) - f.arrived[i])
+		for i := range f.arrivedAverage {
+			f.arrivedAverage[i] += averageWeight * (float64(f.gate.arrivedCPUTime[i].Swap(0)) - f.arrivedAverage[i])
 		}
-		f.gate.allow(&f.arrived, f.most)
+		f.gate.setAllowance(&f.arrivedAverage, f.cpuAllowance)
 		for range each {
 			for _, o := range []RequestSize{long, chatty} {
 				if f.gate.Check(o) == "" && f.gate.Admit(o) == "" {
-					read[o]++
+					admitted[o]++
 				}
 			}
 		}
 	}
-	if read[long] < ticks*each/2 || read[chatty] == 0 || read[chatty] > read[long]/10 {
-		t.Errorf("%d long prompts and %d long answers read of %d each", read[long], read[chatty], ticks*each)
+	if admitted[long] < ticks*each/2 || admitted[chatty] == 0 || admitted[chatty] > admitted[long]/10 {
+		t.Errorf("%d requests with long prompts and %d with long answers admitted, of %d each", admitted[long], admitted[chatty], ticks*each)
 	}
 }
