--- a/internal/throttle/control.go
+++ b/internal/throttle/control.go
@@ -123,8 +123,8 @@
 // organisation were waiting.
 func (c *Controller) RecordQueueFull(organisation string) { c.flow(organisation).queueFull++ }
 
-// RejectedLastTick returns how many requests of an organisation were rejected unread in the
-// last tick.
+// RejectedLastTick returns how many requests of an organisation were rejected before parsing
+// in the last tick.
 func (c *Controller) RejectedLastTick(organisation string) int {
 	if f := c.flows[organisation]; f != nil {
 		return f.rejectedLastTick
--- a/internal/throttle/gate.go
+++ b/internal/throttle/gate.go
@@ -9,7 +9,7 @@
 // the cut grade, so that no kind of request is rejected forever.
 const belowCutFraction = 0.05
 
-// Reason is why a request is rejected unread.
+// Reason is why a request is rejected before it is parsed.
 type Reason string
 
 // The reasons.
--- a/internal/throttle/notice.go
+++ b/internal/throttle/notice.go
@@ -10,7 +10,8 @@
 	noticeInterval = time.Second
 )
 
-// Notice reports that the router rejects some of an organisation's requests unread.
+// Notice reports that the router rejects some of an organisation's requests before parsing
+// them.
 type Notice struct {
 	Organisation string
 	// Began and Ended are set in the first and last notice of a period of throttling.
@@ -23,8 +24,8 @@
 	// Waiting is the number of the organisation's requests that wait for an engine.
 	Waiting int
 	ShareStatus
-	// RejectedQueueFull and RejectedBusy are how many requests were rejected unread since
-	// throttling began, because too many were waiting and because the CPU was busy.
+	// RejectedQueueFull and RejectedBusy are how many requests were rejected before parsing
+	// since throttling began, because too many were waiting and because the CPU was busy.
 	RejectedQueueFull, RejectedBusy int
 	// Duration is how long the organisation has been throttled.
 	Duration time.Duration
