--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,6 +1,6 @@
-// Package prefix remembers which parts of prompts an engine keeps, as far as
-// routers know from what they sent it. An engine reads no part again that it
-// keeps, as long as it keeps every part before it.
+// Package prefix tracks which prompt prefixes an engine has cached, as far as routers know
+// from the prompts that they sent there. A prompt consists of parts that other prompts may
+// share; an engine doesn't read a cached part again if every part before it is cached too.
 package prefix
 
 import (
@@ -9,16 +9,16 @@
 )
 
 const (
-	// maxParts bounds the parts remembered for an engine; an engine's memory
-	// holds some hundreds of shared parts.
+	// maxParts bounds the parts remembered per engine; an engine's cache holds some hundreds
+	// of shared parts.
 	maxParts = 1200
-	// keptTime is for how long a part counts as kept after its last use. It is
-	// a guess: engines drop what was unused for the longest when they need
-	// room, and a part is asked for again within seconds or seldom.
-	keptTime = 15 * time.Second
-	// tellTime is the time after which other routers are told again of a part
-	// that goes on being used: a third of keptTime.
-	tellTime = 5 * time.Second
+	// cachedTTL is how long a part counts as cached after its last use. It is an estimate:
+	// engines evict the least recently used parts when they need space, and a part is used
+	// again within seconds or rarely.
+	cachedTTL = 15 * time.Second
+	// announceInterval is the time after which a part that is still in use is announced to
+	// other routers again: a third of cachedTTL.
+	announceInterval = 5 * time.Second
 )
 
 // Part is a piece of a prompt that other prompts may share.
@@ -27,56 +27,56 @@
 	Tokens int
 }
 
-// Cache is what is known of one engine. Use NewCache to make one.
+// Cache is what is known of one engine's prefix cache. Use NewCache to create one.
 type Cache struct {
 	parts map[string]use
-	// untold holds the parts of which other routers are to be told.
-	untold []string
+	// unannounced holds the parts to announce to other routers.
+	unannounced []string
 }
 
-// use is when a part was last used, and when all routers last heard of it.
-type use struct{ at, told time.Time }
+// use is when a part was last used, and when it was last announced to or by other routers.
+type use struct{ lastUsed, lastAnnounced time.Time }
 
-// NewCache returns the cache of an engine that keeps nothing.
+// NewCache returns the state of an engine with an empty cache.
 func NewCache() *Cache { return &Cache{parts: map[string]use{}} }
 
-// Add notes that a prompt was sent to the engine. Other routers are told of its
-// parts but the last, which is the prompt's own or its session's.
+// Add records that a prompt was sent to the engine. All its parts but the last, which belongs
+// to the prompt or its session alone, are announced to other routers.
 func (c *Cache) Add(now time.Time, prompt []Part) {
 	for i, p := range prompt {
 		u := c.parts[p.ID]
-		u.at = now
-		if i < len(prompt)-1 && now.Sub(u.told) >= tellTime {
-			u.told = now
-			c.untold = append(c.untold, p.ID)
+		u.lastUsed = now
+		if i < len(prompt)-1 && now.Sub(u.lastAnnounced) >= announceInterval {
+			u.lastAnnounced = now
+			c.unannounced = append(c.unannounced, p.ID)
 		}
 		c.parts[p.ID] = u
 	}
-	c.trim(now)
+	c.evict(now)
 }
 
-// AddRemote notes that another router sent the engine prompts with these parts.
+// AddRemote records that another router sent the engine prompts with these parts.
 func (c *Cache) AddRemote(now time.Time, parts []string) {
 	for _, id := range parts {
-		c.parts[id] = use{at: now, told: now}
+		c.parts[id] = use{lastUsed: now, lastAnnounced: now}
 	}
-	c.trim(now)
+	c.evict(now)
 }
 
-// TakeAnnouncements returns the parts of which other routers are to be told, and takes
-// them as told.
+// TakeAnnouncements returns the parts to announce to other routers and regards them as
+// announced.
 func (c *Cache) TakeAnnouncements() []string {
-	list := c.untold
-	c.untold = nil
+	list := c.unannounced
+	c.unannounced = nil
 	return list
 }
 
-// UncachedTokens returns how many of a prompt's tokens the engine has to read: those
-// from the first part on that it does not keep.
+// UncachedTokens returns how many of a prompt's tokens the engine has to read: all from the
+// first part on that is not cached, and at least 1.
 func (c *Cache) UncachedTokens(now time.Time, prompt []Part, tokens int) int {
 	for _, p := range prompt {
 		u, ok := c.parts[p.ID]
-		if !ok || now.Sub(u.at) > keptTime {
+		if !ok || now.Sub(u.lastUsed) > cachedTTL {
 			break
 		}
 		tokens -= p.Tokens
@@ -84,22 +84,23 @@
 	return max(tokens, 1)
 }
 
-// trim forgets the older half where there are too many.
-func (c *Cache) trim(now time.Time) {
+// evict drops the older half of the parts, and all expired ones, if there are more than
+// maxParts.
+func (c *Cache) evict(now time.Time) {
 	if len(c.parts) <= maxParts {
 		return
 	}
 	ages := make([]time.Time, 0, len(c.parts))
 	for _, u := range c.parts {
-		ages = append(ages, u.at)
+		ages = append(ages, u.lastUsed)
 	}
 	slices.SortFunc(ages, time.Time.Compare)
 	limit := ages[len(ages)/2]
-	if old := now.Add(-keptTime); limit.Before(old) {
+	if old := now.Add(-cachedTTL); limit.Before(old) {
 		limit = old
 	}
 	for id, u := range c.parts {
-		if !u.at.After(limit) {
+		if !u.lastUsed.After(limit) {
 			delete(c.parts, id)
 		}
 	}
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -16,7 +16,8 @@
 	RunSpecs(t, "prefix")
 }
 
-// prompt has two shared parts of 100 and 1,000 tokens and one of its own.
+// prompt returns a prompt of two shared parts with 100 and 1,000 tokens and one part of its
+// own.
 func prompt(own string) []prefix.Part {
 	return []prefix.Part{{ID: "all", Tokens: 100}, {ID: "thing", Tokens: 1000}, {ID: own, Tokens: 50}}
 }
@@ -29,7 +30,7 @@
 		c, now = prefix.NewCache(), time.Unix(1000, 0)
 	})
 
-	It("lacks what the engine was not sent, from the first part on", func() {
+	It("counts the tokens from the first part on that the engine was not sent", func() {
 		Expect(c.UncachedTokens(now, prompt("a"), 1150)).To(Equal(1150))
 		c.Add(now, prompt("a"))
 		Expect(c.UncachedTokens(now, prompt("a"), 1150)).To(Equal(1))
@@ -39,13 +40,13 @@
 		Expect(c.UncachedTokens(now, other, 1150)).To(Equal(1150))
 	})
 
-	It("does not count on what was last used long ago", func() {
+	It("regards parts as evicted that were last used long ago", func() {
 		c.Add(now, prompt("a"))
 		Expect(c.UncachedTokens(now.Add(14*time.Second), prompt("b"), 1150)).To(Equal(50))
 		Expect(c.UncachedTokens(now.Add(16*time.Second), prompt("b"), 1150)).To(Equal(1150))
 	})
 
-	It("tells of shared parts once in a while, and of those heard of not at all", func() {
+	It("announces shared parts at intervals, and not those that another router announced", func() {
 		c.AddRemote(now, []string{"all"})
 		c.Add(now, prompt("a"))
 		Expect(c.TakeAnnouncements()).To(Equal([]string{"thing"}))
@@ -56,12 +57,12 @@
 		Expect(c.TakeAnnouncements()).To(Equal([]string{"all", "thing"}))
 	})
 
-	It("knows what other routers sent", func() {
+	It("regards parts as cached that other routers sent", func() {
 		c.AddRemote(now, []string{"all", "thing"})
 		Expect(c.UncachedTokens(now, prompt("a"), 1150)).To(Equal(50))
 	})
 
-	It("forgets the oldest of very many", func() {
+	It("evicts the oldest of very many parts", func() {
 		for i := range 2000 {
 			c.Add(now.Add(time.Duration(i)*time.Millisecond), []prefix.Part{{ID: fmt.Sprint(i), Tokens: 1}})
 		}
