--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -1,68 +1,69 @@
-// Package advice remembers what targets said of themselves in their answers to this router:
-// that they leave, or that they want nothing from it for a time. It is kept by incarnation, apart from the list of targets: an entry that goes and comes back,
-// or one that still says something else, takes back nothing that the target said itself.
-// Time comes in through arguments.
+// Package advice remembers what targets reported about themselves in their answers to this
+// router: that they are leaving, or that they want no requests for a time (a backoff). Records
+// are kept by incarnation and apart from the list of targets: if an entry of the list
+// disappears and returns, or still says something else, what the target itself reported stays
+// valid. Time is passed in as an argument.
 package advice
 
 import "time"
 
-// keptTime is for how long a record is kept of an incarnation that is not listed: longer
-// than an entry may be missing before it is listed again.
-const keptTime = time.Hour
+// unlistedTTL is how long the record of an incarnation is kept that is not listed: longer than
+// an entry may be missing before it is listed again.
+const unlistedTTL = time.Hour
 
-// MaxBackoff bounds the rest that a target may ask for: a mistaken one must not be without
-// work for ever.
+// MaxBackoff bounds the backoff that a target may ask for, so that a mistaken target is not
+// without work forever.
 const MaxBackoff = 10 * time.Minute
 
-// Record is what one incarnation of a target said. A nil record has said nothing.
+// Record is what one incarnation of a target reported. A nil record has reported nothing.
 type Record struct {
-	leaving bool
-	rest    time.Time
-	heard   time.Time
+	leaving      bool
+	backoffUntil time.Time
+	lastReport   time.Time
 }
 
-// BackoffUntil returns until when the target wants nothing, or wanted; zero if it asked for no rest,
-// or has taken a request since.
+// BackoffUntil returns when the target's backoff ends or ended; zero if it asked for none, or
+// has accepted a request since.
 func (r *Record) BackoffUntil() time.Time {
 	if r == nil {
 		return time.Time{}
 	}
-	return r.rest
+	return r.backoffUntil
 }
 
-// Leaving reports whether the target said that it leaves, which it cannot take back.
+// Leaving reports whether the target said that it is leaving, which it cannot withdraw.
 func (r *Record) Leaving() bool { return r != nil && r.leaving }
 
-// Records has the records of many targets. The zero value is empty.
+// Records holds the records of many targets. The zero value is empty.
 type Records struct {
 	records map[string]*Record
 }
 
-// Find returns the record of an incarnation, nil if it has said nothing.
+// Find returns the record of an incarnation, nil if it has reported nothing.
 func (b *Records) Find(name string) *Record { return b.records[name] }
 
-// SetLeaving notes that an incarnation says that it leaves. It returns its record, and whether
-// that is new.
+// SetLeaving records that an incarnation is leaving. It returns its record, and whether this
+// was not known before.
 func (b *Records) SetLeaving(now time.Time, name string) (*Record, bool) {
 	r := b.record(now, name)
-	news := !r.leaving
+	changed := !r.leaving
 	r.leaving = true
-	return r, news
+	return r, changed
 }
 
-// SetBackoff notes that an incarnation wants nothing for a time, of which the latest end holds. It
-// returns its record, and whether it was not resting.
+// SetBackoff records that an incarnation asked for a backoff, which never shortens one that it
+// asked for before. It returns its record, and whether the target was not backing off already.
 func (b *Records) SetBackoff(now time.Time, name string, d time.Duration) (*Record, bool) {
 	r := b.record(now, name)
-	news := !now.Before(r.rest)
-	if until := now.Add(min(d, MaxBackoff)); until.After(r.rest) {
-		r.rest = until
+	changed := !now.Before(r.backoffUntil)
+	if until := now.Add(min(d, MaxBackoff)); until.After(r.backoffUntil) {
+		r.backoffUntil = until
 	}
-	return r, news
+	return r, changed
 }
 
-// ClearBackoff notes that the target has taken a request after its rest.
-func (r *Record) ClearBackoff() { r.rest = time.Time{} }
+// ClearBackoff records that the target has accepted a request after its backoff.
+func (r *Record) ClearBackoff() { r.backoffUntil = time.Time{} }
 
 func (b *Records) record(now time.Time, name string) *Record {
 	r := b.records[name]
@@ -73,15 +74,15 @@
 		}
 		b.records[name] = r
 	}
-	r.heard = now
+	r.lastReport = now
 	return r
 }
 
-// Prune drops the records of incarnations that have said nothing for an hour and are not
-// listed.
+// Prune drops the records of incarnations that have reported nothing for unlistedTTL and are
+// not listed.
 func (b *Records) Prune(now time.Time, listed func(name string) bool) {
 	for name, r := range b.records {
-		if now.Sub(r.heard) >= keptTime && !listed(name) {
+		if now.Sub(r.lastReport) >= unlistedTTL && !listed(name) {
 			delete(b.records, name)
 		}
 	}
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -10,25 +10,26 @@
 
 var start = time.Unix(1000, 0)
 
-// ExampleRecords shows that what one incarnation said does not hold for the next.
+// ExampleRecords shows that what one incarnation reported does not apply to the next.
 func ExampleRecords() {
 	var b advice.Records
-	_, news := b.SetLeaving(start, "t@1")
-	fmt.Println(news, b.Find("t@1").Leaving(), b.Find("t@2").Leaving())
-	_, news = b.SetLeaving(start.Add(time.Second), "t@1")
-	fmt.Println(news)
+	_, changed := b.SetLeaving(start, "t@1")
+	fmt.Println(changed, b.Find("t@1").Leaving(), b.Find("t@2").Leaving())
+	_, changed = b.SetLeaving(start.Add(time.Second), "t@1")
+	fmt.Println(changed)
 	// Output:
 	// true true false
 	// false
 }
 
-// ExampleRecords_SetBackoff shows that the latest end holds.
+// ExampleRecords_SetBackoff shows that a backoff is never shortened, and bounded by
+// MaxBackoff.
 func ExampleRecords_SetBackoff() {
 	var b advice.Records
-	r, news := b.SetBackoff(start, "t", 3*time.Second)
-	fmt.Println(r.BackoffUntil().Sub(start), news)
-	r, news = b.SetBackoff(start.Add(time.Second), "t", time.Second)
-	fmt.Println(r.BackoffUntil().Sub(start), news)
+	r, changed := b.SetBackoff(start, "t", 3*time.Second)
+	fmt.Println(r.BackoffUntil().Sub(start), changed)
+	r, changed = b.SetBackoff(start.Add(time.Second), "t", time.Second)
+	fmt.Println(r.BackoffUntil().Sub(start), changed)
 	r, _ = b.SetBackoff(start, "t", 1000*time.Hour)
 	fmt.Println(r.BackoffUntil().Sub(start))
 	// Output:
@@ -43,9 +44,9 @@
 		listed bool
 		kept   bool
 	}{
-		"not listed, heard lately": {after: 10 * time.Minute, kept: true},
-		"not listed for long":      {after: time.Hour},
-		"listed":                   {after: 100 * time.Hour, listed: true, kept: true},
+		"not listed, reported recently": {after: 10 * time.Minute, kept: true},
+		"not listed for long":           {after: time.Hour},
+		"listed":                        {after: 100 * time.Hour, listed: true, kept: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -1,5 +1,5 @@
-// Package backlog bounds for how long new connections wait until a process that is short of
-// processor time looks at their requests.
+// Package backlog bounds how long new connections wait for their requests to be handled in a
+// process that is short of CPU time.
 package backlog
 
 import (
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// lookMost is for how long a new connection may wait for the processor before its request
-// is looked at. Behind it wait the requests that are let in, and the control loop, which
-// are to be done within the half second after which a caller that left must not find its
-// request at work. The legs of the way add up: waiting to be accepted, to be looked at and to
-// be read.
-const lookMost = 65 * time.Millisecond
+// maxWait is how long a new connection may wait for the CPU before its request is handled. The
+// admitted requests and the control loop wait behind it, and they must be done within half a
+// second: after that, a caller that left must not find its request running. The waits for the
+// connection to be accepted, handled and read add up.
+const maxWait = 65 * time.Millisecond
 
-// Queue is the new connections that wait for the processor to look at their requests. The
-// zero value is empty. One goroutine at a time may use it.
+// Queue holds the new connections whose requests wait for the CPU. The zero value is empty. It
+// must not be used by several goroutines at once.
 type Queue struct {
 	waiting list.List
 }
 
-// Enqueue takes in a new connection and returns its place, or nil if its caller is to be turned
-// away at once: the router is short of processor time, the oldest that waits has waited for
-// too long, and this one would for longer.
-func (q *Queue) Enqueue(now time.Time, short bool) *list.Element {
-	if oldest := q.waiting.Front(); short && oldest != nil && now.Sub(oldest.Value.(time.Time)) > lookMost {
+// Enqueue adds a new connection and returns its element. It returns nil if the caller is to be
+// rejected at once: the router is short of CPU time and the oldest connection has waited for
+// more than maxWait, so this one would wait even longer.
+func (q *Queue) Enqueue(now time.Time, overloaded bool) *list.Element {
+	if oldest := q.waiting.Front(); overloaded && oldest != nil && now.Sub(oldest.Value.(time.Time)) > maxWait {
 		return nil
 	}
 	return q.waiting.PushBack(now)
 }
 
-// Remove takes out a connection that was closed, whether it was looked at or not.
-func (q *Queue) Remove(place *list.Element) { q.waiting.Remove(place) }
+// Remove removes a connection that was closed, whether its request was handled or not.
+func (q *Queue) Remove(connection *list.Element) { q.waiting.Remove(connection) }
 
-// Dequeue takes out a connection that is looked at, and reports whether its caller is to be turned
-// away: the router is short of processor time, and it has waited for too long.
-func (q *Queue) Dequeue(now time.Time, place *list.Element, short bool) (overdue bool) {
-	entered := q.waiting.Remove(place).(time.Time)
-	return short && now.Sub(entered) > lookMost
+// Dequeue removes a connection whose request is handled now, and reports whether its caller is
+// to be rejected: the router is short of CPU time and the connection has waited for more than
+// maxWait.
+func (q *Queue) Dequeue(now time.Time, connection *list.Element, overloaded bool) (overdue bool) {
+	entered := q.waiting.Remove(connection).(time.Time)
+	return overloaded && now.Sub(entered) > maxWait
 }
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -10,7 +10,8 @@
 	"github.com/stepcroft/stepcroft/internal/message"
 )
 
-// ExampleRate shows how many routers send how much to a cold target.
+// ExampleRate shows how many requests a second the routers of different ranks may send to a
+// cold target.
 func ExampleRate() {
 	r := coldstart.Rate{PerSecond: 9.8, MaxPerSecond: 19.7}
 	fmt.Println(r.SendLimit(0, 91), r.SendLimit(1, 91), r.SendLimit(2, 91), r.SendLimit(3, 91))
@@ -37,12 +38,12 @@
 	}
 	for after, want := range cases {
 		if got := w.Count(last.Add(after)); got != want {
-			t.Errorf("%d counted %v after the last, want %d", got, after, want)
+			t.Errorf("%d sends counted %v after the last one, want %d", got, after, want)
 		}
 	}
 }
 
-// fleet is what a router believes.
+// fleet is a router's view of the fleet.
 type fleet struct {
 	routers  []message.RouterRecord
 	majority bool
@@ -60,7 +61,7 @@
 
 func (f fleet) Majority(time.Time) bool { return f.majority }
 
-// routers returns so many, of which each third is large.
+// routers returns n routers, of which every third is large.
 func routers(n int) []message.RouterRecord {
 	var list []message.RouterRecord
 	for i := range n {
@@ -80,22 +81,22 @@
 		after time.Duration
 		want  int
 	}{
-		"all agree":                {fleet: fleet{routers: routers(90), majority: true}, after: time.Minute, want: 6},
-		"one router":               {fleet: fleet{routers: routers(1), majority: true}, after: time.Minute, want: 6},
-		"the smaller side":         {fleet: fleet{routers: routers(90)}, after: time.Minute},
-		"all have just come":       {fleet: fleet{routers: routers(90), majority: true}, after: time.Second},
-		"a fleet that is not sure": {fleet: fleet{majority: true}, after: time.Minute},
+		"all agree":                       {fleet: fleet{routers: routers(90), majority: true}, after: time.Minute, want: 6},
+		"one router":                      {fleet: fleet{routers: routers(1), majority: true}, after: time.Minute, want: 6},
+		"the smaller side of a partition": {fleet: fleet{routers: routers(90)}, after: time.Minute},
+		"all have just started":           {fleet: fleet{routers: routers(90), majority: true}, after: time.Second},
+		"a fleet without known routers":   {fleet: fleet{majority: true}, after: time.Minute},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			for _, target := range []string{"a", "b", "c"} {
 				sum := 0
 				for _, r := range routers(90) {
-					part := coldstart.NewSenders(start, c.fleet, r.ID).SendLimit(start.Add(c.after), target, rate)
-					if part > 0 && r.Capacity < 0.8 {
-						t.Errorf("%s is small and may send", r.ID)
+					limit := coldstart.NewSenders(start, c.fleet, r.ID).SendLimit(start.Add(c.after), target, rate)
+					if limit > 0 && r.Capacity < 0.8 {
+						t.Errorf("small router %s may send", r.ID)
 					}
-					sum += part
+					sum += limit
 				}
 				if sum != c.want {
 					t.Errorf("%d a second to %s, want %d", sum, target, c.want)
@@ -105,7 +106,7 @@
 	}
 }
 
-// BenchmarkSendLimit says what it takes to find out how much may be sent to a cold target.
+// BenchmarkSendLimit measures how long it takes to compute the limit for a cold target.
 func BenchmarkSendLimit(b *testing.B) {
 	for name, n := range map[string]int{"91 routers": 91, "630": 630} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/coldstart/senders.go
+++ b/internal/coldstart/senders.go
@@ -9,72 +9,75 @@
 )
 
 const (
-	// joinTime is how long after its start, or after its box was suspended, a router sends
-	// nothing to cold targets: by then it knows who else runs, and they know of it.
-	joinTime = 2 * time.Second
-	// rightTime is for how long a right to send is used before it is worked out anew.
-	rightTime = 50 * time.Millisecond
-	// largePart is the part, in percent, of the largest capacity that a sender has at least:
-	// callers are told the addresses of large boxes, so that small ones have little to send.
-	largePart = 50
+	// joinDelay is how long a router sends nothing to cold targets after its start, or after
+	// its box was suspended: after that it knows the running routers, and they know it.
+	joinDelay = 2 * time.Second
+	// refreshInterval is how long the list of possible senders is reused before it is computed
+	// again.
+	refreshInterval = 50 * time.Millisecond
+	// minCapacityPercent is the minimum capacity of a sender, in percent of the largest
+	// router's: callers are given the addresses of large boxes, so small ones have little to
+	// send.
+	minCapacityPercent = 50
 )
 
 // Fleet knows which routers run.
 type Fleet interface {
-	// Each returns the routers that are believed to be running and not leaving, this
-	// one included.
+	// Each returns the routers that are believed to be running and not leaving, including this
+	// one.
 	Each(now time.Time) iter.Seq[message.RouterRecord]
-	// Majority reports whether this router hears most of the routers that it knows.
+	// Majority reports whether this router receives messages from most of the routers that it
+	// knows.
 	Majority(now time.Time) bool
 }
 
-// Senders decides whether a router may send to cold targets. Use NewSenders to make one; one
-// goroutine drives it.
+// Senders decides how much a router may send to cold targets. Use NewSenders to create one;
+// one goroutine drives it.
 type Senders struct {
-	fleet  Fleet
-	self   message.RouterID
-	joined time.Time
-	// own is this router's hash, others those of the other routers that may be senders, as
-	// of at; among is set if this one may be.
-	own    uint64
-	others []uint64
-	among  bool
-	at     time.Time
+	fleet    Fleet
+	self     message.RouterID
+	joinedAt time.Time
+	// selfHash is the hash of this router's id, peerHashes those of the other routers that may
+	// be senders, as of refreshedAt; eligible is set if this router may be a sender.
+	selfHash    uint64
+	peerHashes  []uint64
+	eligible    bool
+	refreshedAt time.Time
 }
 
-// NewSenders returns the rights of a router that joins the fleet now.
+// NewSenders returns the Senders of a router that joins the fleet now.
 func NewSenders(now time.Time, f Fleet, self message.RouterID) *Senders {
-	return &Senders{fleet: f, self: self, joined: now, own: rendezvous.Hash(string(self))}
+	return &Senders{fleet: f, self: self, joinedAt: now, selfHash: rendezvous.Hash(string(self))}
 }
 
-// Join notes that the router has just come, or come back from a suspension.
-func (s *Senders) Join(now time.Time) { s.joined = now }
+// Join records that the router has just started, or resumed after its box was suspended.
+func (s *Senders) Join(now time.Time) { s.joinedAt = now }
 
-// SendLimit returns how many requests the router may send to a cold target in a second: the senders
-// are those that rank first for the target.
+// SendLimit returns how many requests a second this router may send to a cold target. The
+// senders are the routers that rank first for the target.
 func (s *Senders) SendLimit(now time.Time, target string, r Rate) int {
-	if now.Sub(s.joined) < joinTime {
+	if now.Sub(s.joinedAt) < joinDelay {
 		return 0
 	}
-	if now.Sub(s.at) >= rightTime {
-		s.look(now)
+	if now.Sub(s.refreshedAt) >= refreshInterval {
+		s.refresh(now)
 	}
-	if !s.among {
+	if !s.eligible {
 		return 0
 	}
 	hash := rendezvous.Hash(target)
-	own, before := rendezvous.WeightFromHashes(hash, s.own), 0
-	for _, other := range s.others {
-		if rendezvous.WeightFromHashes(hash, other) > own {
-			before++
+	selfWeight, rank := rendezvous.WeightFromHashes(hash, s.selfHash), 0
+	for _, peer := range s.peerHashes {
+		if rendezvous.WeightFromHashes(hash, peer) > selfWeight {
+			rank++
 		}
 	}
-	return r.SendLimit(before, len(s.others)+1)
+	return r.SendLimit(rank, len(s.peerHashes)+1)
 }
 
-// look looks who may be a sender.
-func (s *Senders) look(now time.Time) {
-	s.at, s.among, s.others = now, false, s.others[:0]
+// refresh recomputes which routers may be senders.
+func (s *Senders) refresh(now time.Time) {
+	s.refreshedAt, s.eligible, s.peerHashes = now, false, s.peerHashes[:0]
 	if !s.fleet.Majority(now) {
 		return
 	}
@@ -84,11 +87,11 @@
 	}
 	for router := range s.fleet.Each(now) {
 		switch {
-		case router.Capacity*100 < largest*largePart:
+		case router.Capacity*100 < largest*minCapacityPercent:
 		case router.ID == s.self:
-			s.among = true
+			s.eligible = true
 		default:
-			s.others = append(s.others, rendezvous.Hash(string(router.ID)))
+			s.peerHashes = append(s.peerHashes, rendezvous.Hash(string(router.ID)))
 		}
 	}
 }
