--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,5 +1,5 @@
-// Package place keeps the slots of the engines that this router owns and
-// chooses the engine for a request.
+// Package place keeps track of the slots of the engines that this router owns and chooses the
+// engine for a request.
 package place
 
 import (
@@ -14,14 +14,14 @@
 	"github.com/stepcroft/stepcroft/internal/port"
 )
 
-// silence is for how long an engine that does not answer still gets work.
-const silence = 3 * time.Second
+// answerTimeout is how long an engine that does not answer still gets requests.
+const answerTimeout = 3 * time.Second
 
-// settling is for how long a new owner believes that an engine runs more
-// requests than routers have told it of.
-const settling = 2 * time.Second
+// takeoverWindow is how long a new owner counts the requests that an engine reports beyond
+// those that routers have reported to the owner.
+const takeoverWindow = 2 * time.Second
 
-// Allocation is one slot in use.
+// Allocation is a slot in use.
 type Allocation struct {
 	Slot         uint64
 	Engine       string
@@ -29,52 +29,54 @@
 	Pool         string
 	Holder       message.RouterID
 	Organisation string
-	// Charged is what its organisation was charged for it so far.
+	// Charged is what the organisation has been charged for the slot so far, in cost units.
 	Charged float64
 	Since   time.Time
-	// audited is when its holder was last asked whether it still holds it.
-	audited time.Time
+	// lastAudit is when the holder was last asked whether it still holds the slot.
+	lastAudit time.Time
 }
 
-// Slots is the set of engines owned. Use New to make one.
+// Slots holds the engines owned and their slots in use. Use New to create one.
 type Slots struct {
-	next    uint64
-	engines map[string]*engine
-	uses    map[uint64]*engine
+	lastSlot     uint64
+	engines      map[string]*engine
+	engineOfSlot map[uint64]*engine
 }
 
+// engine is an engine that this router owns.
 type engine struct {
-	box     config.Box
-	uses    map[uint64]Allocation
-	foreign map[message.RouterID]foreign
-	// unexplained is how many more requests the engine had than this owner
-	// knew of, when it last reported its load.
+	box         config.Box
+	allocations map[uint64]Allocation
+	foreign     map[message.RouterID]foreign
+	// unexplained is how many more requests the engine had in its last load report than this
+	// owner knew of.
 	unexplained int
-	acquired    time.Time
-	answered    time.Time
+	acquiredAt  time.Time
+	answeredAt  time.Time
 	leaving     bool
-	broken      bool
+	unreachable bool
 }
 
-// foreign counts a router's requests on slots of an earlier owner.
+// foreign counts a router's requests on slots granted by an earlier owner.
 type foreign struct {
 	count int
 	until time.Time
 }
 
-// New returns an empty set whose slot numbers follow first.
+// New returns an empty set, which numbers slots from first+1.
 func New(first uint64) *Slots {
-	return &Slots{next: first, engines: map[string]*engine{}, uses: map[uint64]*engine{}}
+	return &Slots{lastSlot: first, engines: map[string]*engine{}, engineOfSlot: map[uint64]*engine{}}
 }
 
-// SetOwned makes boxes the set of engines owned.
+// SetOwned sets the engines owned. An engine keeps its allocations unless its address has
+// changed.
 func (s *Slots) SetOwned(boxes []config.Box, now time.Time) {
 	keep := map[string]bool{}
 	for _, b := range boxes {
 		keep[b.Name] = true
 		e := s.engines[b.Name]
 		if e == nil || e.box.Address != b.Address {
-			e = &engine{uses: map[uint64]Allocation{}, foreign: map[message.RouterID]foreign{}, acquired: now}
+			e = &engine{allocations: map[uint64]Allocation{}, foreign: map[message.RouterID]foreign{}, acquiredAt: now}
 			s.engines[b.Name] = e
 		}
 		e.box = b
@@ -84,8 +86,8 @@
 		if keep[name] {
 			continue
 		}
-		for slot := range e.uses {
-			delete(s.uses, slot)
+		for slot := range e.allocations {
+			delete(s.engineOfSlot, slot)
 		}
 		delete(s.engines, name)
 	}
@@ -103,28 +105,28 @@
 // Owns reports whether the engine is owned.
 func (s *Slots) Owns(name string) bool { return s.engines[name] != nil }
 
-// RecordLoad takes in an engine's own report of its load.
+// RecordLoad records an engine's own report of its load.
 func (s *Slots) RecordLoad(name string, load port.EngineLoad, now time.Time) {
 	e := s.engines[name]
 	if e == nil {
 		return
 	}
-	e.answered = now
+	e.answeredAt = now
 	e.unexplained = max(load.Running+load.Queued-e.used(now), 0)
 	e.leaving = e.leaving || load.Leaving
-	e.broken = false
+	e.unreachable = false
 }
 
-// MarkUnreachable notes that an engine could not be reached; it gets nothing until it
-// answers again.
+// MarkUnreachable records that an engine could not be reached; it gets no requests until it
+// reports its load again.
 func (s *Slots) MarkUnreachable(name string) {
 	if e := s.engines[name]; e != nil {
-		e.broken = true
+		e.unreachable = true
 	}
 }
 
-// SetForeign notes how many requests a router runs on an engine by grants of an
-// earlier owner; the number lapses after ttl.
+// SetForeign records how many requests a router runs on an engine on slots granted by an
+// earlier owner; the number expires after ttl.
 func (s *Slots) SetForeign(name string, id message.RouterID, count int, now time.Time, ttl time.Duration) {
 	e := s.engines[name]
 	if e == nil {
@@ -139,11 +141,11 @@
 
 // free returns the number of free slots of an engine.
 func (e *engine) free(now time.Time) int {
-	if e.leaving || e.broken || e.answered.IsZero() || now.Sub(e.answered) > silence {
+	if e.leaving || e.unreachable || e.answeredAt.IsZero() || now.Sub(e.answeredAt) > answerTimeout {
 		return 0
 	}
 	used := e.used(now)
-	if now.Sub(e.acquired) < settling {
+	if now.Sub(e.acquiredAt) < takeoverWindow {
 		used += e.unexplained
 	}
 	return max(e.box.Slots-used, 0)
@@ -151,7 +153,7 @@
 
 // used returns the number of slots that this owner knows to be in use.
 func (e *engine) used(now time.Time) int {
-	n := len(e.uses)
+	n := len(e.allocations)
 	for _, f := range e.foreign {
 		if now.Before(f.until) {
 			n += f.count
@@ -171,25 +173,27 @@
 	return n
 }
 
-// Allocate uses a slot of the pool's emptiest engine, by the share of its slots
-// that are free. It returns false if no slot is free.
-func (s *Slots) Allocate(u Allocation, now time.Time) (Allocation, bool) {
-	best := s.emptiest(u.Pool, now)
+// Allocate allocates a slot of the engine in the pool that has the largest fraction of its
+// slots free. It returns false if no slot is free.
+func (s *Slots) Allocate(a Allocation, now time.Time) (Allocation, bool) {
+	best := s.leastUsed(a.Pool, now)
 	if best == nil {
 		return Allocation{}, false
 	}
-	s.next++
-	u.Slot = s.next
-	u.Engine = best.box.Name
-	u.Address = best.box.Address
-	u.Since = now
-	best.uses[u.Slot] = u
-	invariant.Check(len(best.uses) <= best.box.Slots, invariant.SlotsBounded)
-	s.uses[u.Slot] = best
-	return u, true
+	s.lastSlot++
+	a.Slot = s.lastSlot
+	a.Engine = best.box.Name
+	a.Address = best.box.Address
+	a.Since = now
+	best.allocations[a.Slot] = a
+	invariant.Check(len(best.allocations) <= best.box.Slots, invariant.SlotsBounded)
+	s.engineOfSlot[a.Slot] = best
+	return a, true
 }
 
-func (s *Slots) emptiest(pool string, now time.Time) *engine {
+// leastUsed returns the engine of a pool with the largest fraction of its slots free, nil if no
+// slot is free.
+func (s *Slots) leastUsed(pool string, now time.Time) *engine {
 	var best *engine
 	top := 0.0
 	for _, e := range s.engines {
@@ -204,82 +208,81 @@
 	return best
 }
 
-// Release frees a slot and returns what it was used for. It returns false
-// for a slot that is not in use, as when its answer comes twice.
+// Release frees a slot and returns its allocation. It returns false for a slot that is not in
+// use, for example when its answer arrives twice.
 func (s *Slots) Release(slot uint64) (Allocation, bool) {
-	e := s.uses[slot]
+	e := s.engineOfSlot[slot]
 	if e == nil {
 		return Allocation{}, false
 	}
-	u := e.uses[slot]
-	delete(e.uses, slot)
-	delete(s.uses, slot)
-	return u, true
+	a := e.allocations[slot]
+	delete(e.allocations, slot)
+	delete(s.engineOfSlot, slot)
+	return a, true
 }
 
-// ReleaseHolder frees every slot that a router holds, as when it has died,
-// and returns their uses.
+// ReleaseHolder frees every slot that a router holds, for example when it has died, and
+// returns their allocations.
 func (s *Slots) ReleaseHolder(id message.RouterID) []Allocation {
 	var released []Allocation
-	for slot, e := range s.uses {
-		if u := e.uses[slot]; u.Holder == id {
-			released = append(released, u)
+	for slot, e := range s.engineOfSlot {
+		if a := e.allocations[slot]; a.Holder == id {
+			released = append(released, a)
 		}
 	}
-	for _, u := range released {
-		s.Release(u.Slot)
+	for _, a := range released {
+		s.Release(a.Slot)
 	}
 	return released
 }
 
-// Charge raises what was charged for each slot in use of a pool to the cost
-// that requests come to in the time since they began, at rate cost units a
-// second, and calls f with what was added.
+// Charge raises what has been charged for each slot in use of a pool to the cost of the time
+// since its request began, at rate cost units a second, and calls f with the amount added.
 func (s *Slots) Charge(pool string, rate float64, now time.Time, f func(organisation string, added float64)) {
 	for _, e := range s.engines {
 		if e.box.Pool != pool {
 			continue
 		}
-		for slot, u := range e.uses {
-			added := rate*now.Sub(u.Since).Seconds() - u.Charged
+		for slot, a := range e.allocations {
+			added := rate*now.Sub(a.Since).Seconds() - a.Charged
 			if added <= 0 {
 				continue
 			}
-			u.Charged += added
-			e.uses[slot] = u
-			f(u.Organisation, added)
+			a.Charged += added
+			e.allocations[slot] = a
+			f(a.Organisation, added)
 		}
 	}
 }
 
-// firstAudit is after how long a slot's holder is first asked about it; the
-// time doubles with each further question.
-const firstAudit = 2 * time.Second
+// initialAuditDelay is when a slot's holder is first asked about it; the delay doubles with
+// each further question.
+const initialAuditDelay = 2 * time.Second
 
-// DueForAudit returns the slots whose holders, other than self, are due to be
-// asked whether they still hold them.
+// DueForAudit returns the slots whose holders, other than self, are due to be asked whether
+// they still hold them, and regards them as asked.
 func (s *Slots) DueForAudit(self message.RouterID, now time.Time) []Allocation {
 	var due []Allocation
-	for slot, e := range s.uses {
-		u := e.uses[slot]
-		if u.Holder == self {
+	for slot, e := range s.engineOfSlot {
+		a := e.allocations[slot]
+		if a.Holder == self {
 			continue
 		}
-		wait := max(firstAudit, u.audited.Sub(u.Since))
-		last := u.Since
-		if !u.audited.IsZero() {
-			last = u.audited
+		wait := max(initialAuditDelay, a.lastAudit.Sub(a.Since))
+		last := a.Since
+		if !a.lastAudit.IsZero() {
+			last = a.lastAudit
 		}
 		if now.Sub(last) < wait {
 			continue
 		}
-		u.audited = now
-		e.uses[slot] = u
-		due = append(due, u)
+		a.lastAudit = now
+		e.allocations[slot] = a
+		due = append(due, a)
 	}
 	slices.SortFunc(due, func(a, b Allocation) int { return cmp.Compare(a.Slot, b.Slot) })
 	return due
 }
 
 // InUse returns the number of slots in use.
-func (s *Slots) InUse() int { return len(s.uses) }
+func (s *Slots) InUse() int { return len(s.engineOfSlot) }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -26,18 +26,18 @@
 }
 
 var _ = Describe("Slots", func() {
-	It("gives nothing on an engine that has not answered", func() {
+	It("allocates nothing on an engine that has not reported its load", func() {
 		Expect(owning(4).Free("p", start)).To(BeZero())
 	})
 
-	It("gives nothing on an engine that has been silent", func() {
+	It("allocates nothing on an engine whose last report is too old", func() {
 		s := owning(4)
 		s.RecordLoad("e1", port.EngineLoad{}, start)
 		Expect(s.Free("p", start.Add(time.Second))).To(Equal(4))
 		Expect(s.Free("p", start.Add(4*time.Second))).To(BeZero())
 	})
 
-	It("leaves room at first for requests that it was not told of", func() {
+	It("reserves slots at first for requests that no router has reported", func() {
 		s := owning(4)
 		s.RecordLoad("e1", port.EngineLoad{Running: 3}, start)
 		Expect(s.Free("p", start)).To(Equal(1))
@@ -48,17 +48,17 @@
 		Expect(s.Free("p", start)).To(Equal(4))
 	})
 
-	It("reuses at once a slot that it gave itself, whatever the last report said", func() {
+	It("reuses a released slot at once, whatever the engine last reported", func() {
 		s := owning(4)
 		s.RecordLoad("e1", port.EngineLoad{}, start)
-		var used []place.Allocation
+		var allocated []place.Allocation
 		for range 4 {
-			u, ok := s.Allocate(place.Allocation{Pool: "p"}, start)
+			a, ok := s.Allocate(place.Allocation{Pool: "p"}, start)
 			Expect(ok).To(BeTrue())
-			used = append(used, u)
+			allocated = append(allocated, a)
 		}
 		s.RecordLoad("e1", port.EngineLoad{Running: 4}, start)
-		_, ok := s.Release(used[0].Slot)
+		_, ok := s.Release(allocated[0].Slot)
 		Expect(ok).To(BeTrue())
 		Expect(s.Free("p", start)).To(Equal(1))
 	})
@@ -66,13 +66,13 @@
 	It("frees a slot only once", func() {
 		s := owning(1)
 		s.RecordLoad("e1", port.EngineLoad{}, start)
-		u, _ := s.Allocate(place.Allocation{Pool: "p"}, start)
-		_, first := s.Release(u.Slot)
-		_, second := s.Release(u.Slot)
+		a, _ := s.Allocate(place.Allocation{Pool: "p"}, start)
+		_, first := s.Release(a.Slot)
+		_, second := s.Release(a.Slot)
 		Expect([]bool{first, second}).To(Equal([]bool{true, false}))
 	})
 
-	It("never takes back that an engine is leaving", func() {
+	It("keeps an engine leaving whatever it reports later", func() {
 		s := owning(4)
 		s.RecordLoad("e1", port.EngineLoad{Leaving: true}, start)
 		s.RecordLoad("e1", port.EngineLoad{Leaving: false}, start)
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,7 +1,7 @@
-// Package view adds up what the other routers report of their requests: what
-// they put on targets, and what organisations asked for and got. Sums change
-// with each report by what it changes, since a large fleet reports more often
-// than the sums are asked for. A view is driven by one goroutine.
+// Package view adds up what the other routers report about their requests: the load on
+// targets, and what organisations demanded and were served. The sums are updated with each
+// report by the difference, since a large fleet reports more often than the sums are read. A
+// view is driven by one goroutine.
 package view
 
 import (
@@ -10,29 +10,28 @@
 )
 
 const (
-	// loadAge is for how long a router's report of its load counts: several
-	// report periods, and less than its requests take.
-	loadAge = 1500 * time.Millisecond
-	// waitingLeast is the least time for which other routers' waiting requests
-	// count: they wait for a fraction of a second.
-	waitingLeast = 250 * time.Millisecond
-	// waitingPeriods is for how many report periods they count, in percent: a
-	// report may come late.
-	waitingPeriods = 150
-	// routerAge is for how long a router that fell silent is still counted.
-	routerAge = 10 * time.Second
-	// expireTime is the time between looks for what is too old.
-	expireTime = 20 * time.Millisecond
+	// loadTTL is how long a router's report of its load counts: several report periods, and
+	// less than its requests take.
+	loadTTL = 1500 * time.Millisecond
+	// minWaitingTTL is the least time for which other routers' waiting requests count;
+	// requests wait for a fraction of a second.
+	minWaitingTTL = 250 * time.Millisecond
+	// waitingTTLPercent is how long they count in percent of the report period: more than one
+	// period, since a report may be late.
+	waitingTTLPercent = 150
+	// routerTTL is how long a router counts after its last report.
+	routerTTL = 10 * time.Second
+	// expireInterval is the time between checks for expired reports.
+	expireInterval = 20 * time.Millisecond
 )
 
-// Load is what requests put on a target, in tokens and requests.
+// Load is the load that requests put on a target.
 type Load struct {
 	// PendingTokens is the number of prompt tokens sent and not yet read.
 	PendingTokens int
-	// Running is the number of requests sent and not ended.
+	// Running is the number of requests sent and not finished.
 	Running int
-	// Memory is the number of tokens of running requests that are theirs
-	// alone.
+	// Memory is the number of tokens of running requests that no other request shares.
 	Memory int
 }
 
@@ -41,87 +40,87 @@
 	return Load{PendingTokens: l.PendingTokens + m.PendingTokens, Running: l.Running + m.Running, Memory: l.Memory + m.Memory}
 }
 
-// Minus returns what is left of a load without another.
+// Minus returns the difference of two loads.
 func (l Load) Minus(m Load) Load {
 	return Load{PendingTokens: l.PendingTokens - m.PendingTokens, Running: l.Running - m.Running, Memory: l.Memory - m.Memory}
 }
 
-// Usage is what an organisation asked for and got, in tokens, each token
-// counting less with its age (see Decay).
+// Usage holds the tokens that an organisation demanded and the tokens of its requests that
+// were started, each weighted by DecayFactor of its age.
 type Usage struct {
 	Demand, Started float64
-	// Waiting is the number of its requests to engines that wait for room.
+	// Waiting is the number of the organisation's requests that wait for engine capacity.
 	Waiting int
 }
 
-// DecayFactor returns the part of a usage that is left after a time, for a quota
-// window: most of the weight lies within the window.
+// DecayFactor returns the fraction of a usage that is left at this age, for a quota window:
+// most of the weight lies within the window.
 func DecayFactor(age, window time.Duration) float64 {
 	return math.Exp(-2 * age.Seconds() / window.Seconds())
 }
 
-// Report is what a router tells the others of its requests.
+// Report is what a router reports to the others about its requests.
 type Report struct {
 	Loads map[string]Load
 	Usage map[string]Usage
-	// SharedParts has, by target, shared parts of prompts that were sent there.
+	// SharedParts holds, by target, shared parts of prompts that were sent there.
 	SharedParts map[string][]string
 }
 
-// Active reports whether the router has requests or had some lately.
+// Active reports whether the router has requests or had some recently.
 func (r Report) Active() bool { return len(r.Loads)+len(r.Usage) > 0 }
 
-// router is what one router said last.
+// router is the last report of one router.
 type router struct {
-	at    time.Time
-	loads map[string]told
-	usage map[string]Usage
-	// waits is set while its waiting requests are in the sums.
-	waits bool
+	reportedAt time.Time
+	loads      map[string]timedLoad
+	usage      map[string]Usage
+	// waitingCounted is set while the router's waiting requests are in the sums.
+	waitingCounted bool
 }
 
-// told is a load and when it was told.
-type told struct {
+// timedLoad is a load and when it was reported.
+type timedLoad struct {
 	Load
 	at time.Time
 }
 
-// load adds up what routers told of a target.
-type load struct {
+// loadSum is the sum of the loads that routers reported for a target.
+type loadSum struct {
 	Load
-	// moment is the sum of unread tokens times when they were told, in seconds
-	// after the view's start.
-	moment float64
+	// pendingMoment is the sum of pending tokens times when they were reported, in seconds
+	// after the view's start. Divided by the pending tokens, it gives their mean report time.
+	pendingMoment float64
 }
 
-// View is the sum of what other routers said. Use New to make one.
+// View holds the sums of what other routers reported. Use New to create one.
 type View struct {
 	start   time.Time
 	window  time.Duration
 	period  time.Duration
 	routers map[string]*router
-	loads   map[string]load
+	loads   map[string]loadSum
 	usage   map[string]Usage
-	// decayed is the time as of which usage is.
-	decayed time.Time
-	expired time.Time
+	// decayedAt is the time up to which usage has been decayed.
+	decayedAt time.Time
+	expiredAt time.Time
 }
 
 // New returns an empty view for a quota window.
 func New(now time.Time, window time.Duration) *View {
 	return &View{
-		start: now, window: window, decayed: now, expired: now,
-		routers: map[string]*router{}, loads: map[string]load{}, usage: map[string]Usage{},
+		start: now, window: window, decayedAt: now, expiredAt: now,
+		routers: map[string]*router{}, loads: map[string]loadSum{}, usage: map[string]Usage{},
 	}
 }
 
-// SetWindow takes over another quota window.
+// SetWindow sets the quota window.
 func (v *View) SetWindow(d time.Duration) { v.window = d }
 
-// SetPeriod says how much time is between a router's reports.
+// SetPeriod sets the interval between a router's reports.
 func (v *View) SetPeriod(d time.Duration) { v.period = d }
 
-// UpdateReport takes in a router's report, which replaces its last one.
+// UpdateReport replaces a router's last report.
 func (v *View) UpdateReport(now time.Time, name string, r Report) {
 	v.decay(now)
 	old := v.routers[name]
@@ -129,18 +128,18 @@
 		v.dropLoads(old)
 		v.dropUsage(now, old)
 	}
-	n := &router{at: now, loads: make(map[string]told, len(r.Loads)), usage: r.Usage, waits: true}
+	n := &router{reportedAt: now, loads: make(map[string]timedLoad, len(r.Loads)), usage: r.Usage, waitingCounted: true}
 	v.routers[name] = n
 	for target, l := range r.Loads {
-		n.loads[target] = told{l, now}
-		v.add(target, told{l, now}, 1)
+		n.loads[target] = timedLoad{l, now}
+		v.addTargetLoad(target, timedLoad{l, now}, 1)
 	}
 	for organisation, u := range r.Usage {
 		v.addUsage(organisation, u, 1)
 	}
 }
 
-// Remove takes out all that a router said.
+// Remove removes everything that a router reported.
 func (v *View) Remove(now time.Time, name string) {
 	r := v.routers[name]
 	if r == nil {
@@ -152,46 +151,45 @@
 	delete(v.routers, name)
 }
 
-// UpdateLoad takes in what a router's requests now put on a target; it replaces
-// what its last report said of that target.
+// UpdateLoad replaces the load that a router last reported for a target.
 func (v *View) UpdateLoad(now time.Time, name, target string, l Load) {
 	r := v.routers[name]
 	if r == nil {
 		return
 	}
 	if old, ok := r.loads[target]; ok {
-		v.add(target, old, -1)
+		v.addTargetLoad(target, old, -1)
 	}
-	r.loads[target] = told{l, now}
-	v.add(target, r.loads[target], 1)
+	r.loads[target] = timedLoad{l, now}
+	v.addTargetLoad(target, r.loads[target], 1)
 }
 
-// AddLoad adds to what a router's requests put on a target, as it was last told.
+// AddLoad adds to the load that a router last reported for a target.
 func (v *View) AddLoad(now time.Time, name, target string, l Load) {
 	if r := v.routers[name]; r != nil {
 		v.UpdateLoad(now, name, target, r.loads[target].Plus(l))
 	}
 }
 
-// Load returns what all other routers put on a target, and the mean time at
-// which its unread tokens were told.
+// Load returns the load of all other routers on a target, and the mean time at which its
+// pending tokens were reported.
 func (v *View) Load(now time.Time, target string) (Load, time.Time) {
 	v.expire(now)
 	l := v.loads[target]
 	if l.PendingTokens <= 0 {
 		return l.Load, now
 	}
-	return l.Load, v.start.Add(time.Duration(l.moment / float64(l.PendingTokens) * float64(time.Second)))
+	return l.Load, v.start.Add(time.Duration(l.pendingMoment / float64(l.PendingTokens) * float64(time.Second)))
 }
 
-// Usage returns what an organisation asked for and got at all other routers.
+// Usage returns an organisation's usage at all other routers.
 func (v *View) Usage(now time.Time, organisation string) Usage {
 	v.expire(now)
 	v.decay(now)
 	return v.usage[organisation]
 }
 
-// EachOrganisation calls f for each organisation that any other router told of.
+// EachOrganisation calls f for each organisation for which any other router reported usage.
 func (v *View) EachOrganisation(now time.Time, f func(organisation string, u Usage)) {
 	v.expire(now)
 	v.decay(now)
@@ -200,25 +198,25 @@
 	}
 }
 
-// RouterCount returns the number of other routers that were heard lately.
+// RouterCount returns the number of other routers that reported recently.
 func (v *View) RouterCount() int { return len(v.routers) }
 
-// expire takes out what is too old.
+// expire removes expired reports from the sums.
 func (v *View) expire(now time.Time) {
-	if now.Sub(v.expired) < expireTime {
+	if now.Sub(v.expiredAt) < expireInterval {
 		return
 	}
-	v.expired = now
-	waitingAge := max(waitingLeast, v.period*waitingPeriods/100)
+	v.expiredAt = now
+	waitingAge := max(minWaitingTTL, v.period*waitingTTLPercent/100)
 	for name, r := range v.routers {
-		age := now.Sub(r.at)
-		if r.waits && age >= waitingAge {
+		age := now.Sub(r.reportedAt)
+		if r.waitingCounted && age >= waitingAge {
 			v.dropWaiting(r)
 		}
-		if len(r.loads) > 0 && age >= loadAge {
+		if len(r.loads) > 0 && age >= loadTTL {
 			v.dropLoads(r)
 		}
-		if age > routerAge {
+		if age > routerTTL {
 			v.decay(now)
 			v.dropUsage(now, r)
 			delete(v.routers, name)
@@ -228,38 +226,38 @@
 
 func (v *View) dropLoads(r *router) {
 	for target, l := range r.loads {
-		v.add(target, l, -1)
+		v.addTargetLoad(target, l, -1)
 	}
 	clear(r.loads)
 }
 
 func (v *View) dropWaiting(r *router) {
-	r.waits = false
+	r.waitingCounted = false
 	for organisation, u := range r.usage {
 		v.addUsage(organisation, Usage{Waiting: u.Waiting}, -1)
 	}
 }
 
-// dropUsage takes a router's usage out of the sums, which are as of now.
+// dropUsage removes a router's usage from the sums, which must have been decayed to now.
 func (v *View) dropUsage(now time.Time, r *router) {
-	left := DecayFactor(now.Sub(r.at), v.window)
+	factor := DecayFactor(now.Sub(r.reportedAt), v.window)
 	for organisation, u := range r.usage {
-		if !r.waits {
+		if !r.waitingCounted {
 			u.Waiting = 0
 		}
-		v.addUsage(organisation, Usage{Demand: u.Demand * left, Started: u.Started * left, Waiting: u.Waiting}, -1)
+		v.addUsage(organisation, Usage{Demand: u.Demand * factor, Started: u.Started * factor, Waiting: u.Waiting}, -1)
 	}
 }
 
-// add adds what a router told of a target to the sums, or takes it out.
-func (v *View) add(target string, t told, sign int) {
+// addTargetLoad adds a router's load on a target to the sums (sign 1) or removes it (sign -1).
+func (v *View) addTargetLoad(target string, t timedLoad, sign int) {
 	l := v.loads[target]
 	if sign > 0 {
 		l.Load = l.Plus(t.Load)
 	} else {
 		l.Load = l.Minus(t.Load)
 	}
-	l.moment += float64(sign*t.PendingTokens) * t.at.Sub(v.start).Seconds()
+	l.pendingMoment += float64(sign*t.PendingTokens) * t.at.Sub(v.start).Seconds()
 	if l.Load == (Load{}) {
 		delete(v.loads, target)
 		return
@@ -267,31 +265,34 @@
 	v.loads[target] = l
 }
 
+// addUsage adds a router's usage of an organisation to the sums (sign 1) or removes it (sign
+// -1).
 func (v *View) addUsage(organisation string, u Usage, sign int) {
 	sum := v.usage[organisation]
 	sum.Demand = max(sum.Demand+float64(sign)*u.Demand, 0)
 	sum.Started = max(sum.Started+float64(sign)*u.Started, 0)
 	sum.Waiting += sign * u.Waiting
-	if sum.Waiting == 0 && sum.Demand < negligible && sum.Started < negligible {
+	if sum.Waiting == 0 && sum.Demand < negligibleTokens && sum.Started < negligibleTokens {
 		delete(v.usage, organisation)
 		return
 	}
 	v.usage[organisation] = sum
 }
 
-// negligible is a usage in tokens that is none: what is left by rounding.
-const negligible = 1e-3
+// negligibleTokens is the usage, in tokens, up to which a sum counts as zero: rounding errors
+// remain when reports are removed.
+const negligibleTokens = 1e-3
 
-// decay brings the sums of usage to now.
+// decay applies the decay of the usage sums up to now.
 func (v *View) decay(now time.Time) {
-	if !now.After(v.decayed) {
+	if !now.After(v.decayedAt) {
 		return
 	}
-	left := DecayFactor(now.Sub(v.decayed), v.window)
-	v.decayed = now
+	factor := DecayFactor(now.Sub(v.decayedAt), v.window)
+	v.decayedAt = now
 	for name, u := range v.usage {
-		u.Demand *= left
-		u.Started *= left
+		u.Demand *= factor
+		u.Started *= factor
 		v.usage[name] = u
 	}
 }
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -13,23 +13,23 @@
 
 const window = 4 * time.Second
 
-// said is what one router said of one thing, and when.
-type said[T any] struct {
-	what T
-	at   time.Time
+// timed is what one router reported about one thing, and when.
+type timed[T any] struct {
+	value T
+	at    time.Time
 }
 
-// naive keeps all that was said and adds it up when asked.
+// naive keeps all reports and adds them up on each call.
 type naive struct {
-	loads   map[string]map[string]said[view.Load]
-	reports map[string]said[view.Report]
+	loads   map[string]map[string]timed[view.Load]
+	reports map[string]timed[view.Report]
 }
 
 func (n *naive) load(now time.Time, target string) view.Load {
 	sum := view.Load{}
 	for name, loads := range n.loads {
 		if now.Sub(n.reports[name].at) < 1500*time.Millisecond {
-			sum = sum.Plus(loads[target].what)
+			sum = sum.Plus(loads[target].value)
 		}
 	}
 	return sum
@@ -42,7 +42,7 @@
 		if age > 10*time.Second {
 			continue
 		}
-		u := r.what.Usage[organisation]
+		u := r.value.Usage[organisation]
 		sum.Demand += u.Demand * view.DecayFactor(age, window)
 		sum.Started += u.Started * view.DecayFactor(age, window)
 		if age < 250*time.Millisecond {
@@ -79,13 +79,12 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*(1+math.Abs(a)+math.Abs(b))+1e-2 }
 
-// TestSums compares the sums with those of a naive version that adds up all
-// reports each time.
+// TestSums compares the sums with those of a naive version that adds up all reports each time.
 func TestSums(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		v := view.New(now, window)
-		n := &naive{loads: map[string]map[string]said[view.Load]{}, reports: map[string]said[view.Report]{}}
+		n := &naive{loads: map[string]map[string]timed[view.Load]{}, reports: map[string]timed[view.Report]{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
@@ -93,32 +92,32 @@
 			"report": func(t *rapid.T) {
 				router, r := name(t, "router", 3), drawReport(t)
 				v.UpdateReport(now, router, r)
-				n.reports[router] = said[view.Report]{r, now}
-				n.loads[router] = map[string]said[view.Load]{}
+				n.reports[router] = timed[view.Report]{r, now}
+				n.loads[router] = map[string]timed[view.Load]{}
 				for target, l := range r.Loads {
-					n.loads[router][target] = said[view.Load]{l, now}
+					n.loads[router][target] = timed[view.Load]{l, now}
 				}
 			},
 			"load": func(t *rapid.T) {
 				router, target, l := name(t, "router", 3), name(t, "target", 4), drawLoad(t)
 				r, known := n.reports[router]
 				if !known || now.Sub(r.at) >= 1500*time.Millisecond {
-					t.Skip("a router that was not heard lately")
+					t.Skip("a router without a recent report")
 				}
 				v.UpdateLoad(now, router, target, l)
-				n.loads[router][target] = said[view.Load]{l, now}
+				n.loads[router][target] = timed[view.Load]{l, now}
 			},
 			"added": func(t *rapid.T) {
 				router, target, l := name(t, "router", 3), name(t, "target", 4), drawLoad(t)
 				r, known := n.reports[router]
 				if !known || now.Sub(r.at) >= 1500*time.Millisecond {
-					t.Skip("a router that was not heard lately")
+					t.Skip("a router without a recent report")
 				}
 				v.AddLoad(now, router, target, l)
-				n.loads[router][target] = said[view.Load]{n.loads[router][target].what.Plus(l), now}
+				n.loads[router][target] = timed[view.Load]{n.loads[router][target].value.Plus(l), now}
 			},
 			"": func(t *rapid.T) {
-				// What is too old is looked for once in 20 ms.
+				// Expired reports are removed only every 20 ms.
 				now = now.Add(20 * time.Millisecond)
 				for i := range 4 {
 					target := fmt.Sprint("target", i)
@@ -127,7 +126,7 @@
 						t.Fatalf("load of %s is %+v, want %+v", target, got, want)
 					}
 					if at.After(now) || got.PendingTokens > 0 && now.Sub(at) > 1501*time.Millisecond {
-						t.Fatalf("load of %s was told at %v, now is %v", target, at, now)
+						t.Fatalf("load of %s was reported at %v, now is %v", target, at, now)
 					}
 				}
 				for i := range 3 {
@@ -149,6 +148,6 @@
 	v.UpdateReport(now.Add(100*time.Millisecond), "b", view.Report{Loads: map[string]view.Load{"t": {PendingTokens: 3000}}})
 	l, at := v.Load(now.Add(200*time.Millisecond), "t")
 	if want := now.Add(75 * time.Millisecond); l.PendingTokens != 4000 || at.Sub(want).Abs() > time.Microsecond {
-		t.Errorf("%d unread tokens told at %v, want 4000 at %v", l.PendingTokens, at, want)
+		t.Errorf("%d pending tokens reported at %v, want 4000 at %v", l.PendingTokens, at, want)
 	}
 }
--- a/internal/zonesum/zonesum.go
+++ b/internal/zonesum/zonesum.go
@@ -1,8 +1,8 @@
-// Package zonesum adds up what the routers of an availability zone report of their
-// requests, for the routers of other zones. In a large fleet one router of each
-// zone tells one of each other zone the sum, and that one tells its own zone: what
-// passes between zones, which is paid for, grows with the number of zones and not
-// with the square of that of routers.
+// Package zonesum adds up what the routers of an availability zone report about their
+// requests, for the routers of other zones. In a large fleet, one router of each zone (the
+// relay) sends the sum to one router of each other zone, which forwards it within its own
+// zone. So the traffic between zones, which is paid for, grows with the number of zones and
+// not with the square of the number of routers.
 package zonesum
 
 import (
@@ -16,21 +16,21 @@
 )
 
 const (
-	// reportAge is for how long a router's report counts: some report periods, and
-	// less than its requests take.
-	reportAge = 1500 * time.Millisecond
-	// relayKey is what routers are ranked by for the task of telling sums.
+	// reportTTL is how long a router's report counts: some report periods, and less than its
+	// requests take.
+	reportTTL = 1500 * time.Millisecond
+	// relayKey is the rendezvous hashing key by which routers are ranked to select the relay.
 	relayKey = "relay"
-	// largeShare is the part, in percent, of the largest capacity of a zone that a
-	// router must have to tell its sum: it also passes on those of the others.
-	largeShare = 50
+	// minCapacityPercent is the minimum capacity of a relay, in percent of the largest
+	// router's in its zone: it also forwards the sums of the other zones.
+	minCapacityPercent = 50
 )
 
-// Sum is what the routers of a zone reported. The zero value is an empty one.
+// Sum adds up the reports of a zone's routers. The zero value is empty.
 type Sum struct {
 	reports map[message.RouterID]report
-	// kept has the shared parts told since the last sum, by target.
-	kept map[string][]string
+	// sharedParts holds the shared parts of prompts reported since the last sum, by target.
+	sharedParts map[string][]string
 }
 
 type report struct {
@@ -38,24 +38,24 @@
 	at time.Time
 }
 
-// UpdateReport takes in a router's report, which replaces its last one.
+// UpdateReport replaces a router's last report.
 func (s *Sum) UpdateReport(now time.Time, id message.RouterID, m message.Status) {
 	if s.reports == nil {
-		s.reports, s.kept = map[message.RouterID]report{}, map[string][]string{}
+		s.reports, s.sharedParts = map[message.RouterID]report{}, map[string][]string{}
 	}
 	s.reports[id] = report{m, now}
 	for _, k := range m.Kept {
-		s.kept[k.Target] = append(s.kept[k.Target], k.Parts...)
+		s.sharedParts[k.Target] = append(s.sharedParts[k.Target], k.Parts...)
 	}
 }
 
-// UpdateLoads takes in what a router's requests now put on some targets.
+// UpdateLoads replaces the loads that a router last reported for some targets.
 func (s *Sum) UpdateLoads(id message.RouterID, list []message.TargetLoad) {
 	r, ok := s.reports[id]
 	if !ok {
 		return
 	}
-	// The report may still be on its way to other goroutines.
+	// The report may still be on its way to other goroutines, so it must not be changed.
 	r.Loads = slices.Clone(r.Loads)
 	for _, l := range list {
 		i := slices.IndexFunc(r.Loads, func(old message.TargetLoad) bool { return old.Target == l.Target })
@@ -68,14 +68,14 @@
 	s.reports[id] = r
 }
 
-// Take returns the sum of all reports that are new enough. The shared parts in it
-// are those told since the last call.
+// Take returns the sum of all reports that haven't expired. The shared parts in it are those
+// reported since the last call.
 func (s *Sum) Take(now time.Time) message.Status {
 	var out message.Status
 	loads := map[string]message.TargetLoad{}
 	usage := map[string]message.OrganisationUsage{}
 	for id, r := range s.reports {
-		if now.Sub(r.at) >= reportAge {
+		if now.Sub(r.at) >= reportTTL {
 			delete(s.reports, id)
 			continue
 		}
@@ -94,20 +94,20 @@
 	}
 	out.Loads = slices.Collect(maps.Values(loads))
 	out.Usage = slices.Collect(maps.Values(usage))
-	for target, parts := range s.kept {
+	for target, parts := range s.sharedParts {
 		out.Kept = append(out.Kept, message.TargetParts{Target: target, Parts: parts})
 	}
-	clear(s.kept)
+	clear(s.sharedParts)
 	return out
 }
 
-// DiscardParts forgets the shared parts told so far: another router tells them, or all tell
-// one another.
-func (s *Sum) DiscardParts() { clear(s.kept) }
+// DiscardParts drops the shared parts reported so far: another router forwards them, or all
+// routers report directly to one another.
+func (s *Sum) DiscardParts() { clear(s.sharedParts) }
 
-// SelectRelay returns which of the serving routers of a zone tells its sum, or false if
-// there are none: the first by rendezvous hashing of the large ones that answer.
-// All that know the same routers name the same, and nobody is elected.
+// SelectRelay returns the relay of a zone, or false if no serving router is alive there: the
+// first by rendezvous hashing among the large routers. All routers that know the same fleet
+// select the same one, without an election.
 func SelectRelay(zone string, serving []message.RouterRecord) (message.RouterRecord, bool) {
 	var list []message.RouterRecord
 	largest := 0.0
@@ -117,7 +117,7 @@
 			largest = max(largest, r.Capacity)
 		}
 	}
-	list = slices.DeleteFunc(list, func(r message.RouterRecord) bool { return r.Capacity*100 < largest*largeShare })
+	list = slices.DeleteFunc(list, func(r message.RouterRecord) bool { return r.Capacity*100 < largest*minCapacityPercent })
 	if len(list) == 0 {
 		return message.RouterRecord{}, false
 	}
--- a/internal/zonesum/zonesum_test.go
+++ b/internal/zonesum/zonesum_test.go
@@ -15,29 +15,29 @@
 
 var start = time.Unix(1000, 0)
 
-// TestAgainstRecomputation compares sums with adding up all that was said last.
+// TestAgainstRecomputation compares sums with adding up the last report of every router.
 func TestAgainstRecomputation(t *testing.T) {
-	type said struct {
+	type timedStatus struct {
 		message.Status
 		at time.Duration
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		var s zonesum.Sum
-		all := map[message.RouterID]said{}
-		var told []string
+		all := map[message.RouterID]timedStatus{}
+		var unsummed []string
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 30).Draw(t, "reports") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
 			id := message.RouterID(fmt.Sprint("r", rapid.IntRange(0, 4).Draw(t, "router")))
 			m := draw(t)
-			all[id] = said{m, now}
+			all[id] = timedStatus{m, now}
 			s.UpdateReport(start.Add(now), id, m)
-			told = append(told, parts(m)...)
+			unsummed = append(unsummed, parts(m)...)
 			if rapid.Bool().Draw(t, "load") {
 				l := message.TargetLoad{Target: "t1", Unread: rapid.IntRange(0, 9).Draw(t, "unread"), Running: 1}
 				s.UpdateLoads(id, []message.TargetLoad{l})
 				m.Loads = append(slices.DeleteFunc(slices.Clone(m.Loads), func(old message.TargetLoad) bool { return old.Target == "t1" }), l)
-				all[id] = said{m, now}
+				all[id] = timedStatus{m, now}
 			}
 			if rapid.Bool().Draw(t, "sum") {
 				want := message.Status{}
@@ -51,10 +51,10 @@
 				if a, b := totals(got), totals(want); a != b {
 					t.Fatalf("sum is %s, want %s", a, b)
 				}
-				if a, b := sorted(parts(got)), sorted(told); a != b {
+				if a, b := sorted(parts(got)), sorted(unsummed); a != b {
 					t.Fatalf("parts are %s, want %s", a, b)
 				}
-				told = nil
+				unsummed = nil
 			}
 		}
 	})
@@ -71,7 +71,7 @@
 	return m
 }
 
-// totals returns all sums by name.
+// totals returns all sums by name, as one string.
 func totals(m message.Status) string {
 	sums := map[string][3]int{}
 	add := func(name string, a, b, c int) {
@@ -103,23 +103,23 @@
 	return strings.Join(list, " ")
 }
 
-func TestRelay(t *testing.T) {
+func TestSelectRelay(t *testing.T) {
 	r := func(id, zone string, capacity float64, belief message.Belief) message.RouterRecord {
 		return message.RouterRecord{ID: message.RouterID(id), Zone: zone, Capacity: capacity, Belief: belief}
 	}
 	small, other := r("small", "z", 0.2, message.Alive), r("other", "y", 0.8, message.Alive)
 	a, b := r("a", "z", 0.8, message.Alive), r("b", "z", 0.5, message.Alive)
-	silent := r("a", "z", 0.8, message.Suspected)
+	suspected := r("a", "z", 0.8, message.Suspected)
 	tests := map[string]struct {
 		list []message.RouterRecord
 		want []message.RouterID
 	}{
-		"nobody":                    {nil, nil},
-		"nobody in the zone":        {[]message.RouterRecord{other}, nil},
-		"the only one":              {[]message.RouterRecord{other, small}, []message.RouterID{"small"}},
-		"a large one":               {[]message.RouterRecord{small, a, b}, []message.RouterID{"a", "b"}},
-		"never one that is silent":  {[]message.RouterRecord{silent, b}, []message.RouterID{"b"}},
-		"small where large is gone": {[]message.RouterRecord{silent, small}, []message.RouterID{"small"}},
+		"nobody":                     {nil, nil},
+		"no router in the zone":      {[]message.RouterRecord{other}, nil},
+		"the only one":               {[]message.RouterRecord{other, small}, []message.RouterID{"small"}},
+		"a large one":                {[]message.RouterRecord{small, a, b}, []message.RouterID{"a", "b"}},
+		"never a suspected one":      {[]message.RouterRecord{suspected, b}, []message.RouterID{"b"}},
+		"small if no large is alive": {[]message.RouterRecord{suspected, small}, []message.RouterID{"small"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
