--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -280,7 +280,7 @@
 	t.target = to
 	t.sentAt = now
 	t.foundFreeSlot = !t.Engine && s.loadOf(now, to).Running < to.Slots
-	t.load = view.Load{PendingTokens: p.missTokens, Running: 1, Memory: t.unsharedTokens()}
+	t.load = view.Load{PendingTokens: p.missTokens, Running: 1, MemoryTokens: t.unsharedTokens()}
 	t.work = p.work
 	to.localLoad = to.localLoad.Plus(t.load)
 	to.waiting = append(to.waiting, t)
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -184,7 +184,7 @@
 	if !ok || service.Engine == nil {
 		return true
 	}
-	return l.Memory+t.unsharedTokens() <= service.Engine.CacheTokens*memoryPercent/100
+	return l.MemoryTokens+t.unsharedTokens() <= service.Engine.CacheTokens*memoryPercent/100
 }
 
 // usable returns the targets of t's service that it may be sent to. Targets that are leaving,
--- a/internal/balance/random_test.go
+++ b/internal/balance/random_test.go
@@ -140,7 +140,7 @@
 		"": func(t *rapid.T) {
 			m.collect(t)
 			for id, l := range m.Report(m.now).Loads {
-				if l.PendingTokens < 0 || l.Memory < 0 || l.Running <= 0 {
+				if l.PendingTokens < 0 || l.MemoryTokens < 0 || l.Running <= 0 {
 					t.Fatalf("load of %s is %+v", id, l)
 				}
 			}
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -112,7 +112,7 @@
 }
 
 func loadOf(l message.TargetLoad) view.Load {
-	return view.Load{PendingTokens: l.Unread, Running: l.Running, Memory: l.Memory}
+	return view.Load{PendingTokens: l.Unread, Running: l.Running, MemoryTokens: l.Memory}
 }
 
 func (g *Gateway) takeCopy(s *balance.State, now time.Time, from member.Member, m message.Copy) {
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -270,7 +270,7 @@
 }
 
 func targetLoad(id string, l view.Load) message.TargetLoad {
-	return message.TargetLoad{Target: id, Unread: l.PendingTokens, Running: l.Running, Memory: l.Memory}
+	return message.TargetLoad{Target: id, Unread: l.PendingTokens, Running: l.Running, Memory: l.MemoryTokens}
 }
 
 // tellLoad tells the serving routers at once what own requests put on a target, and
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -31,18 +31,18 @@
 	PendingTokens int
 	// Running is the number of requests sent and not finished.
 	Running int
-	// Memory is the number of tokens of running requests that no other request shares.
-	Memory int
+	// MemoryTokens is the number of tokens of running requests that no other request shares.
+	MemoryTokens int
 }
 
 // Plus returns the sum of two loads.
 func (l Load) Plus(m Load) Load {
-	return Load{PendingTokens: l.PendingTokens + m.PendingTokens, Running: l.Running + m.Running, Memory: l.Memory + m.Memory}
+	return Load{PendingTokens: l.PendingTokens + m.PendingTokens, Running: l.Running + m.Running, MemoryTokens: l.MemoryTokens + m.MemoryTokens}
 }
 
 // Minus returns the difference of two loads.
 func (l Load) Minus(m Load) Load {
-	return Load{PendingTokens: l.PendingTokens - m.PendingTokens, Running: l.Running - m.Running, Memory: l.Memory - m.Memory}
+	return Load{PendingTokens: l.PendingTokens - m.PendingTokens, Running: l.Running - m.Running, MemoryTokens: l.MemoryTokens - m.MemoryTokens}
 }
 
 // Usage holds the tokens that an organisation demanded and the tokens of its requests that
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -59,7 +59,7 @@
 func drawLoad(t *rapid.T) view.Load {
 	return view.Load{
 		PendingTokens: rapid.IntRange(0, 50_000).Draw(t, "unread"), Running: rapid.IntRange(0, 9).Draw(t, "running"),
-		Memory: rapid.IntRange(0, 99_999).Draw(t, "memory"),
+		MemoryTokens: rapid.IntRange(0, 99_999).Draw(t, "memory"),
 	}
 }
 
