--- a/internal/control/dispatch.go
+++ b/internal/control/dispatch.go
@@ -33,7 +33,7 @@
 			return
 		}
 		c := candidates[p.policy.Pick(candidates)]
-		if c.Local > 0 {
+		if c.LocalWaiting > 0 {
 			s.startLocal(p, c.Organisation, now)
 			continue
 		}
@@ -70,7 +70,7 @@
 	if p == nil {
 		return
 	}
-	s.view.Asked(from.ID, m.Pool, m.Organisation, m.Waiting)
+	s.view.RecordAsk(from.ID, m.Pool, m.Organisation, m.Waiting)
 	full := s.slots.Free(p.name, now) == 0
 	s.dispatch(p, now)
 	if full && m.Free {
@@ -85,7 +85,7 @@
 	if p == nil {
 		return
 	}
-	s.view.Free(from.ID, m.Pool, m.Free)
+	s.view.SetFree(from.ID, m.Pool, m.Free)
 	if m.Free == 0 && !s.view.AnyFree(m.Pool) {
 		return
 	}
@@ -99,7 +99,7 @@
 func (s *State) candidates(p *pool) []fair.Candidate {
 	list := s.localCandidates(p)
 	reach := p.policy.Reach()
-	if reach == fair.ReachLocal || reach == fair.ReachIdle && len(list) > 0 {
+	if reach == fair.ReachLocal || reach == fair.ReachLocalFirst && len(list) > 0 {
 		return list
 	}
 	index := make(map[string]int, len(list))
@@ -107,16 +107,16 @@
 		index[c.Organisation] = i
 	}
 	var rest []fair.Candidate
-	s.view.Remote(p.name, func(name string, waiting, quota int) {
+	s.view.EachRemote(p.name, func(name string, waiting, quota int) {
 		if i, ok := index[name]; ok {
-			list[i].Remote = waiting
+			list[i].RemoteWaiting = waiting
 			return
 		}
 		o, ok := s.snapshot.Organisation(name)
 		if !ok {
 			return
 		}
-		c := fair.Candidate{Organisation: name, Weight: o.Weight, Remote: waiting}
+		c := fair.Candidate{Organisation: name, Weight: o.Weight, RemoteWaiting: waiting}
 		if quota > 0 || p.policy.Urgent(name) {
 			list = append(list, c)
 			return
@@ -133,7 +133,7 @@
 
 func (s *State) localCandidates(p *pool) []fair.Candidate {
 	var list []fair.Candidate
-	p.queue.Each(func(name string, waiting int) {
+	p.queue.EachOrganisation(func(name string, waiting int) {
 		o, ok := s.snapshot.Organisation(name)
 		if !ok {
 			// The organisation was deleted, but its waiting requests still run.
@@ -144,10 +144,10 @@
 		}
 		first, _ := p.queue.Peek(name)
 		list = append(list, fair.Candidate{
-			Organisation: name,
-			Weight:       o.Weight,
-			Local:        waiting,
-			Oldest:       first.Arrived(),
+			Organisation:  name,
+			Weight:        o.Weight,
+			LocalWaiting:  waiting,
+			OldestArrival: first.Arrived(),
 		})
 	})
 	return list
@@ -157,7 +157,7 @@
 // limit on requests in progress.
 func (s *State) anyRunningLimit(p *pool) bool {
 	limited := false
-	p.queue.Each(func(name string, _ int) {
+	p.queue.EachOrganisation(func(name string, _ int) {
 		o, _ := s.snapshot.Organisation(name)
 		limited = limited || o.Limits.Running > 0
 	})
@@ -218,7 +218,7 @@
 // requests of an organisation wait. Each call counts one of them as taken, also
 // if that router turns out to be unknown, so that the loop in dispatch ends.
 func (s *State) grantSlot(p *pool, organisation string, now time.Time) {
-	holder, ok := s.view.Holder(p.name, organisation)
+	holder, ok := s.view.PickHolder(p.name, organisation)
 	if !ok {
 		return
 	}
@@ -337,7 +337,7 @@
 	if p.policy.Reach() == fair.ReachLocal {
 		return
 	}
-	id, free := s.view.FreeOwner(p.name)
+	id, free := s.view.PickFreeRouter(p.name)
 	ok := free
 	if !ok && p.policy.Reach() == fair.ReachFleet &&
 		(p.queue.Len(organisation) <= maxQueueToAsk || p.policy.Urgent(organisation)) {
