--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -21,7 +21,7 @@
 
 // Receive handles a message from another router.
 func (s *State) Receive(from member.Member, m message.Message, now time.Time) {
-	if !s.members.Heard(from, now) {
+	if !s.members.RecordMessage(from, now) {
 		s.counts.StaleMessages++
 		return
 	}
@@ -87,7 +87,7 @@
 	if !m.Unknown {
 		p.charge(u.Organisation, -u.Charged)
 	}
-	s.view.Waiting(from.ID, p.name, u.Organisation, 0)
+	s.view.SetWaiting(from.ID, p.name, u.Organisation, 0)
 	s.dispatch(p, now)
 }
 
@@ -98,7 +98,7 @@
 		return
 	}
 	p.learnCost(m.Organisation, 0, end)
-	s.view.Waiting(from.ID, p.name, m.Organisation, m.Waiting)
+	s.view.SetWaiting(from.ID, p.name, m.Organisation, m.Waiting)
 	s.dispatch(p, now)
 }
 
@@ -107,7 +107,7 @@
 		s.delayedReports = append(s.delayedReports, delayedReport{now, from.ID, r})
 		return
 	}
-	if s.view.Report(from.ID, r, now) {
+	if s.view.ApplyReport(from.ID, r, now) {
 		s.dispatchAll(now)
 	}
 }
@@ -132,7 +132,7 @@
 	for len(s.delayedReports) > 0 && now.Sub(s.delayedReports[0].receivedAt) >= s.options.ViewDelay {
 		d := s.delayedReports[0]
 		s.delayedReports = s.delayedReports[1:]
-		s.view.Report(d.from, d.report, d.receivedAt)
+		s.view.ApplyReport(d.from, d.report, d.receivedAt)
 	}
 }
 
@@ -193,7 +193,7 @@
 	}
 	for pool, c := range counts {
 		all := float64(c.all)
-		s.view.Own(pool, float64(c.before)/all, float64(c.before+c.owned)/all)
+		s.view.SetSlotRange(pool, float64(c.before)/all, float64(c.before+c.owned)/all)
 	}
 }
 
@@ -248,23 +248,23 @@
 // pool.
 func (s *State) updatePolicy(p *pool, now time.Time) {
 	totals := p.serviceTotals()
-	standings := map[string]fair.Standing{}
+	states := map[string]fair.OrganisationState{}
 	for name, total := range totals {
-		standings[name] = fair.Standing{
+		states[name] = fair.OrganisationState{
 			Served:     float64(total - p.observedService[name]),
 			Backlogged: s.backlogged(p, name, now),
 		}
 	}
 	p.observedService = totals
-	s.view.Drain(p.name, func(name string, served float64, backlogged bool) {
-		st := standings[name]
+	s.view.DrainServed(p.name, func(name string, served float64, backlogged bool) {
+		st := states[name]
 		st.Served += served
 		st.Backlogged = st.Backlogged || backlogged
-		standings[name] = st
+		states[name] = st
 	})
-	list := make([]fair.Standing, 0, len(standings))
-	for _, name := range slices.Sorted(maps.Keys(standings)) {
-		st := standings[name]
+	list := make([]fair.OrganisationState, 0, len(states))
+	for _, name := range slices.Sorted(maps.Keys(states)) {
+		st := states[name]
 		o, ok := s.snapshot.Organisation(name)
 		if !ok {
 			continue
@@ -272,7 +272,7 @@
 		st.Organisation, st.Weight = name, o.Weight
 		list = append(list, st)
 	}
-	p.policy.Observe(fair.View{Standings: list, Age: float64(s.view.Age(now)) / float64(s.options.Period)})
+	p.policy.Observe(fair.View{Organisations: list, Age: float64(s.view.Age(now)) / float64(s.options.Period)})
 }
 
 // backlogged reports whether the first request in an organisation's queue at
