--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -27,18 +27,18 @@
 	loop     *balance.Loop
 	suspects Suspects
 	log      logr.Logger
-	counts   Counts
+	counts   Counters
 }
 
-// Counts counts retries by reason, and what targets report about themselves.
-type Counts interface {
-	Retried(r Reason)
-	// Advised counts a report of a target that changes what was known about it.
-	Advised(a Advice)
+// Counters counts retries by reason, and what targets report about themselves.
+type Counters interface {
+	CountRetry(r Reason)
+	// CountAdvice counts a report of a target that changes what was known about it.
+	CountAdvice(a Advice)
 }
 
 // New returns a forwarder that sends requests with s to the targets that l chooses.
-func New(d Dialect, s Sender, l *balance.Loop, q Suspects, log logr.Logger, c Counts) *Forwarder {
+func New(d Dialect, s Sender, l *balance.Loop, q Suspects, log logr.Logger, c Counters) *Forwarder {
 	return &Forwarder{dialect: d, sender: s, loop: l, suspects: q, log: log, counts: c}
 }
 
@@ -110,7 +110,7 @@
 	}
 	x.sendUntilDone(timed)
 	if x.onTrial {
-		x.suspects.Tried(x.key())
+		x.suspects.EndTrial(x.key())
 	}
 	return x.verdict
 }
@@ -124,13 +124,13 @@
 			return
 		}
 		if x.Gone != nil && x.Gone() {
-			x.endSend(balance.Left)
+			x.endSend(balance.Abandoned)
 			x.abandon(ctx)
 			return
 		}
 		if clock.Until(x.deadline) <= 0 {
 			// The box was suspended, which also stopped the timer of ctx.
-			x.endSend(balance.Left)
+			x.endSend(balance.Abandoned)
 			x.abandon(ctx)
 			return
 		}
@@ -178,7 +178,7 @@
 		s.Withdraw(t)
 		select {
 		case <-t.Decision:
-			s.Ended(now, t, balance.Left)
+			s.Ended(now, t, balance.Abandoned)
 		default:
 		}
 	})
@@ -247,7 +247,7 @@
 		return false
 	}
 	if x.mayRetry(f) && x.retry(ctx, to) {
-		x.counts.Retried(f.reason)
+		x.counts.CountRetry(f.reason)
 		x.logFailure("sent again", to, f)
 		return true
 	}
@@ -268,7 +268,7 @@
 	}
 	after := defaultRetryAfter
 	answered := x.loop.Ask(ctx, func(s *balance.State, now time.Time) {
-		if d, ok := s.RestLeft(now, x.Service); ok {
+		if d, ok := s.BackoffLeft(now, x.Service); ok {
 			after = max(after, d)
 		}
 	})
@@ -313,11 +313,11 @@
 		t.Tried = append(t.Tried, to.Incarnation())
 		t.Resumes = resumes
 		if unsent {
-			s.Unsent(now, t)
+			s.Requeue(now, t)
 			allowed = true
 			return
 		}
-		allowed = s.Again(now, t)
+		allowed = s.Retry(now, t)
 	})
 	if !answered {
 		// The event is still in the queue, and nobody would receive the decision it leads to.
