--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,6 +1,7 @@
-// Package forward carries one request from its caller to a target and the
-// answer back. It decides when a request is sent, sent again, resumed at
-// another engine or given up, and what the caller is told.
+// Package forward carries one request from its caller to a target and the answer back. It
+// decides when to send the request, retry it, resume its stream at another engine or abandon
+// it, and how to answer the caller. The choice of the target is made by the control thread
+// (balance.Loop), which this package talks to through a balance.Ticket.
 package forward
 
 import (
@@ -19,84 +20,84 @@
 	"github.com/stepcroft/stepcroft/internal/throttle"
 )
 
-// Forwarder forwards requests. Use New to make one; it is safe for use by
-// many goroutines.
+// Forwarder forwards requests. Use New to make one. It is safe for concurrent use.
 type Forwarder struct {
 	dialect  Dialect
 	sender   Sender
 	loop     *balance.Loop
 	suspects Suspects
 	log      logr.Logger
-	counts   Counts
+	counts   Counters
 }
 
-// Counts counts what happens to requests, by reason, and what targets say of themselves.
-type Counts interface {
-	Retried(r Reason)
-	// Advised counts what a target says for the first time.
-	Advised(a Advice)
+// Counters counts retries by reason, and what targets report about themselves.
+type Counters interface {
+	CountRetry(r Reason)
+	// CountAdvice counts a report of a target that changes what was known about it.
+	CountAdvice(a Advice)
 }
 
-// New returns a forwarder.
-func New(d Dialect, s Sender, l *balance.Loop, q Suspects, log logr.Logger, c Counts) *Forwarder {
+// New returns a forwarder that sends requests with s to the targets that l chooses.
+func New(d Dialect, s Sender, l *balance.Loop, q Suspects, log logr.Logger, c Counters) *Forwarder {
 	return &Forwarder{dialect: d, sender: s, loop: l, suspects: q, log: log, counts: c}
 }
 
-// Crowded returns why a request of an organisation to engines is to be refused
-// unread, or "": it sends more than the router can take in.
-func (f *Forwarder) Crowded(organisation string, o throttle.Offer) Reason {
+// Crowded returns the reason to reject a request of an organisation to engines before it is
+// parsed, because the organisation sends more than the router can take in, or "" to read it.
+func (f *Forwarder) Crowded(organisation string, o throttle.RequestSize) Reason {
 	return Reason(f.loop.Crowded(organisation, o))
 }
 
-// Throttles reports whether requests of any organisation are refused unread.
+// Throttles reports whether requests of any organisation are rejected before parsing.
 func (f *Forwarder) Throttles() bool { return f.loop.Throttles() }
 
 // Short reports whether the router is short of processor time.
 func (f *Forwarder) Short() bool { return f.loop.Coalesce() > 0 }
 
-// Admit lets a request of an organisation to engines in, or returns why it is to be
-// refused.
-func (f *Forwarder) Admit(organisation string, o throttle.Offer) Reason {
+// Admit admits a request of an organisation to engines and returns "", or returns the reason
+// to reject it.
+func (f *Forwarder) Admit(organisation string, o throttle.RequestSize) Reason {
 	return Reason(f.loop.Admit(organisation, o))
 }
 
 const (
-	// minLeft is the least time that is worth a send.
-	minLeft = 5 * time.Millisecond
-	// comeBackSoon is when to come back after a target refused or could not be
-	// reached: another one is chosen then.
-	comeBackSoon = 200 * time.Millisecond
+	// minTimeForRetry is the time that must be left before the deadline for a retry.
+	minTimeForRetry = 5 * time.Millisecond
+	// defaultRetryAfter is the default Retry-After of a failed request. It is short because
+	// the next attempt goes to another target.
+	defaultRetryAfter = 200 * time.Millisecond
 )
 
-// run is one request on its way.
-type run struct {
+// inflight is one request while it is being forwarded.
+type inflight struct {
 	*Forwarder
 	Request
 	caller   Caller
 	ticket   *balance.Ticket
 	deadline time.Time
-	// source is the engine from which the target can fetch parts.
-	source  balance.Target
-	verdict Verdict
-	// answers is set once the target of the last send has begun to answer.
-	answers bool
-	// mayHaveRun is set once a target may have run the request.
+	// fetchSource is an engine from which the target can fetch cached parts of the prompt;
+	// its ID is empty if there is none.
+	fetchSource balance.Target
+	verdict     Verdict
+	// answerStarted is set once the target of the current send has started to answer.
+	answerStarted bool
+	// mayHaveRun is set once a target may have run the request, wholly or in part.
 	mayHaveRun bool
-	// last is the id of the last event passed on.
-	last string
-	// passed is the number of events passed on.
-	passed int
-	// content is what is asked, worked out when it is first needed.
-	content *quarantine.Key
-	// trial is set where the request is held back and sent on trial.
-	trial bool
+	// lastEventID is the id of the last event that the caller has, after which a retry resumes.
+	lastEventID string
+	// forwardedEvents is the number of events forwarded to the caller.
+	forwardedEvents int
+	// contentKey identifies the request by its content; computed when first needed, see key.
+	contentKey *quarantine.Key
+	// onTrial is set if the request is sent although targets have crashed while running it.
+	onTrial bool
 }
 
-// Forward carries r to a target and the answer to caller. It returns when
-// the answer is over or given up; ctx ends when the caller goes away.
+// Forward sends r to a target and the answer to caller. It returns when the answer is
+// complete or the request is abandoned. ctx must end when the caller disconnects.
 func (f *Forwarder) Forward(ctx context.Context, r Request, caller Caller) Verdict {
 	deadline := r.Expires()
-	x := &run{Forwarder: f, Request: r, caller: caller, deadline: deadline, last: r.LastEvent}
+	x := &inflight{Forwarder: f, Request: r, caller: caller, deadline: deadline, lastEventID: r.LastEvent}
 	x.ticket = &balance.Ticket{
 		ID: r.ID, Service: r.Service, Organisation: r.Organisation, Engine: r.Engine, Stream: r.Route.Kind == routing.Streaming,
 		Parts: r.Parts, Input: r.Input, Output: r.Output, Goal: r.Route.Goal,
@@ -104,52 +105,52 @@
 	}
 	timed, cancel := context.WithTimeout(ctx, clock.Until(deadline))
 	defer cancel()
-	if x.heldBack(timed) {
+	if x.refuseQuarantined(timed) {
 		return x.verdict
 	}
-	x.run(timed)
-	if x.trial {
-		x.suspects.Tried(x.key())
+	x.sendUntilDone(timed)
+	if x.onTrial {
+		x.suspects.EndTrial(x.key())
 	}
 	return x.verdict
 }
 
-// run sends the request until an answer has been passed on or it is given up.
-func (x *run) run(ctx context.Context) {
+// sendUntilDone sends the request, with retries, until it is answered, refused or abandoned.
+func (x *inflight) sendUntilDone(ctx context.Context) {
 	x.loop.Post(func(s *balance.State, now time.Time) { s.Arrive(now, x.ticket) })
 	for {
-		to, ok := x.target(ctx)
+		to, ok := x.awaitTarget(ctx)
 		if !ok {
 			return
 		}
 		if x.Gone != nil && x.Gone() {
-			x.end(balance.Left)
-			x.giveUp(ctx)
+			x.endSend(balance.Abandoned)
+			x.abandon(ctx)
 			return
 		}
 		if clock.Until(x.deadline) <= 0 {
-			// The box was suspended, and the timer that ends the request stood still.
-			x.end(balance.Left)
-			x.giveUp(ctx)
+			// The box was suspended, which also stopped the timer of ctx.
+			x.endSend(balance.Abandoned)
+			x.abandon(ctx)
 			return
 		}
-		if x.heldBack(ctx) {
-			// It became known while the request waited.
-			x.end(balance.Refused)
+		if x.refuseQuarantined(ctx) {
+			// The request was quarantined while it waited for a target.
+			x.endSend(balance.Refused)
 			return
 		}
-		err := x.try(ctx, to)
+		err := x.sendTo(ctx, to)
 		if err == nil {
 			return
 		}
-		if !x.again(ctx, to, err) {
+		if !x.handleFailure(ctx, to, err) {
 			return
 		}
 	}
 }
 
-// target waits for the control thread's decision.
-func (x *run) target(ctx context.Context) (balance.Target, bool) {
+// awaitTarget waits until the control thread has chosen a target or refused the request.
+func (x *inflight) awaitTarget(ctx context.Context) (balance.Target, bool) {
 	select {
 	case d := <-x.ticket.Decision:
 		x.verdict.Waited = d.Waited
@@ -160,31 +161,32 @@
 		x.verdict.Target = d.Target.ID
 		x.verdict.Unread, x.verdict.Miss, x.verdict.Fetched = d.Unread, d.Miss, d.Fetched
 		x.verdict.Lapsed = d.Lapsed
-		x.source = d.Source
+		x.fetchSource = d.Source
 		return d.Target, true
 	case <-ctx.Done():
 		x.withdraw()
-		x.giveUp(ctx)
+		x.abandon(ctx)
 		return balance.Target{}, false
 	}
 }
 
-// withdraw takes the request back from the control thread, which may have
-// decided already.
-func (x *run) withdraw() {
+// withdraw takes the request back from the control thread. If a target has been chosen
+// already, it releases the load counted there.
+func (x *inflight) withdraw() {
 	t := x.ticket
 	x.loop.Post(func(s *balance.State, now time.Time) {
 		s.Withdraw(t)
 		select {
 		case <-t.Decision:
-			s.Ended(now, t, balance.Left)
+			s.Ended(now, t, balance.Abandoned)
 		default:
 		}
 	})
 }
 
-// refuse ends a request that was not run, or that cannot be continued.
-func (x *run) refuse(why Reason, after time.Duration) {
+// refuse sets the verdict of a request that no target ran, or whose answer cannot be
+// continued.
+func (x *inflight) refuse(why Reason, after time.Duration) {
 	x.verdict.Reason = why
 	if x.verdict.Begun {
 		x.verdict.Cut = true
@@ -198,8 +200,8 @@
 	x.verdict.RetryAfter = after
 }
 
-// giveUp ends a request whose time is over or whose caller has gone.
-func (x *run) giveUp(ctx context.Context) {
+// abandon sets the verdict of a request whose deadline has passed or whose caller has gone.
+func (x *inflight) abandon(ctx context.Context) {
 	x.verdict.Reason = ReasonGone
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		x.verdict.Reason = ReasonDeadline
@@ -211,121 +213,123 @@
 	x.verdict.Status = http.StatusGatewayTimeout
 	if !x.mayHaveRun {
 		x.verdict.Status = http.StatusServiceUnavailable
-		x.verdict.RetryAfter = comeBackSoon
+		x.verdict.RetryAfter = defaultRetryAfter
 	}
 }
 
-// failure is why one send did not lead to a whole answer.
+// failure says why one send did not result in a complete answer.
 type failure struct {
 	reason Reason
 	result balance.Result
-	// ran is set if the target may have run the request.
-	ran bool
-	// answer passes on what the target said of its failure, where it said
-	// something that may be passed on; nil if not.
-	answer *kept
-	cause  error
+	// mayHaveRun is set if the target may have run the request.
+	mayHaveRun bool
+	// errorAnswer is the target's own error answer, to be forwarded if the request is not
+	// retried; nil if there is none.
+	errorAnswer *bufferedAnswer
+	cause       error
 }
 
 func (f *failure) Error() string { return string(f.reason) + ": " + f.cause.Error() }
 
-// again decides what follows a failed send. It returns true if the request
-// was handed to the control thread once more.
-func (x *run) again(ctx context.Context, to balance.Target, f *failure) bool {
-	if f.ran {
+// handleFailure handles a failed send. It returns true if the request is retried: the control
+// thread then chooses another target. Otherwise it answers or refuses the request.
+func (x *inflight) handleFailure(ctx context.Context, to balance.Target, f *failure) bool {
+	if f.mayHaveRun {
 		x.mayHaveRun = true
 	}
 	if ctx.Err() != nil {
-		x.giveUp(ctx)
+		x.abandon(ctx)
 		return false
 	}
-	if x.crashed(ctx, to, f) {
-		x.logFailed("given up", to, f)
-		x.refuse(f.reason, comeBackSoon)
+	if x.reportBreak(ctx, to, f) {
+		x.logFailure("given up", to, f)
+		x.refuse(f.reason, defaultRetryAfter)
 		return false
 	}
 	if x.mayRetry(f) && x.retry(ctx, to) {
-		x.counts.Retried(f.reason)
-		x.logFailed("sent again", to, f)
+		x.counts.CountRetry(f.reason)
+		x.logFailure("sent again", to, f)
 		return true
 	}
-	if f.answer != nil && !x.verdict.Begun {
-		x.pass(f.answer)
+	if f.errorAnswer != nil && !x.verdict.Begun {
+		x.writeAnswer(f.errorAnswer)
 		return false
 	}
-	x.logFailed("given up", to, f)
-	x.refuse(f.reason, x.comeBack(ctx, f))
+	x.logFailure("given up", to, f)
+	x.refuse(f.reason, x.retryAfter(ctx, f))
 	return false
 }
 
-// comeBack returns when to come back after the last send has failed.
-func (x *run) comeBack(ctx context.Context, f *failure) time.Duration {
+// retryAfter returns the Retry-After for a request whose last send failed. Where all targets
+// of the service are backing off, it is the time until they accept requests again.
+func (x *inflight) retryAfter(ctx context.Context, f *failure) time.Duration {
 	if f.reason != ReasonRefused {
-		return comeBackSoon
+		return defaultRetryAfter
 	}
-	after := comeBackSoon
-	asked := x.loop.Ask(ctx, func(s *balance.State, now time.Time) {
-		if d, ok := s.RestLeft(now, x.Service); ok {
+	after := defaultRetryAfter
+	answered := x.loop.Ask(ctx, func(s *balance.State, now time.Time) {
+		if d, ok := s.BackoffLeft(now, x.Service); ok {
 			after = max(after, d)
 		}
 	})
-	if !asked {
-		return comeBackSoon
+	if !answered {
+		return defaultRetryAfter
 	}
 	return after
 }
 
-// logFailed logs what follows a failed send. Where the target broke off, the content
-// tells whether the same is asked at the next one that does.
-func (x *run) logFailed(what string, to balance.Target, f *failure) {
+// logFailure logs a failed send and what follows it. If the target broke off its answer, the
+// line has a digest of the content, so that a request that breaks one target after another
+// can be found in the log.
+func (x *inflight) logFailure(what string, to balance.Target, f *failure) {
 	log := x.log
 	if f.reason == ReasonBroken || f.reason == ReasonRestarted {
 		log = log.WithValues("content", x.key().String())
 	}
-	log.Info(what, "id", x.ID, "target", to.ID, "reason", f.reason, "cause", f.cause.Error(), "events", x.passed)
+	log.Info(what, "id", x.ID, "target", to.ID, "reason", f.reason, "cause", f.cause.Error(), "events", x.forwardedEvents)
 }
 
 // mayRetry reports whether the request may be sent to another target.
-func (x *run) mayRetry(f *failure) bool {
+func (x *inflight) mayRetry(f *failure) bool {
 	if x.verdict.Sends >= max(x.Route.MaxAttempts, 1) {
 		return false
 	}
-	if clock.Until(x.deadline) < minLeft {
+	if clock.Until(x.deadline) < minTimeForRetry {
 		return false
 	}
 	if x.verdict.Begun && !x.Route.Resumable {
 		return false
 	}
-	return !f.ran || x.Route.Repeatable()
+	return !f.mayHaveRun || x.Route.Repeatable()
 }
 
-// retry asks the control thread for another target, which the retry budget
-// may forbid. A send that never reached a target needs no budget.
-func (x *run) retry(ctx context.Context, to balance.Target) bool {
+// retry asks the control thread for another target and reports whether the retry budget
+// allows it. It spends no budget as long as no send has reached a target.
+func (x *inflight) retry(ctx context.Context, to balance.Target) bool {
 	t := x.ticket
-	free, resumes := x.verdict.Sends == 0, x.verdict.Begun
+	unsent, resumes := x.verdict.Sends == 0, x.verdict.Begun
 	allowed := false
-	asked := x.loop.Ask(ctx, func(s *balance.State, now time.Time) {
+	answered := x.loop.Ask(ctx, func(s *balance.State, now time.Time) {
 		t.Tried = append(t.Tried, to.Incarnation())
 		t.Resumes = resumes
-		if free {
-			s.Unsent(now, t)
+		if unsent {
+			s.Requeue(now, t)
 			allowed = true
 			return
 		}
-		allowed = s.Again(now, t)
+		allowed = s.Retry(now, t)
 	})
-	if !asked {
-		// The event still comes, and nobody would wait for what it decides.
+	if !answered {
+		// The event is still in the queue, and nobody would receive the decision it leads to.
 		x.withdraw()
 		return false
 	}
 	return allowed
 }
 
-// head builds the head of the request for a target.
-func (x *run) head(to balance.Target, deadline time.Time) []byte {
-	b := make([]byte, 0, headSize)
+// requestHead returns the request line and headers to send to a target.
+func (x *inflight) requestHead(to balance.Target, deadline time.Time) []byte {
+	b := make([]byte, 0, initialHeadSize)
 	b = append(b, x.Method...)
 	b = append(b, ' ')
 	b = append(b, x.Target...)
@@ -334,31 +338,33 @@
 	b = append(b, "\r\n"...)
 	for name, values := range x.Header {
 		for _, v := range values {
-			b = line(b, name, v)
+			b = appendHeader(b, name, v)
 		}
 	}
-	b = line(b, x.dialect.RequestID, x.ID)
-	b = line(b, x.dialect.Deadline, strconv.FormatInt(max(clock.Until(deadline).Milliseconds(), 1), 10))
-	b = line(b, x.dialect.ExpectTarget, to.ID)
+	b = appendHeader(b, x.dialect.RequestID, x.ID)
+	b = appendHeader(b, x.dialect.Deadline, strconv.FormatInt(max(clock.Until(deadline).Milliseconds(), 1), 10))
+	b = appendHeader(b, x.dialect.ExpectTarget, to.ID)
 	if x.Organisation != "" {
-		b = line(b, x.dialect.Organisation, x.Organisation)
+		b = appendHeader(b, x.dialect.Organisation, x.Organisation)
 	}
-	if x.last != "" {
-		b = line(b, x.dialect.LastEvent, x.last)
+	if x.lastEventID != "" {
+		b = appendHeader(b, x.dialect.LastEvent, x.lastEventID)
 	}
-	if x.source.ID != "" && x.dialect.FetchFrom != "" {
-		b = line(b, x.dialect.FetchFrom, x.source.Address)
+	if x.fetchSource.ID != "" && x.dialect.FetchFrom != "" {
+		b = appendHeader(b, x.dialect.FetchFrom, x.fetchSource.Address)
 	}
 	if len(x.Body) > 0 || x.Method == http.MethodPost || x.Method == http.MethodPut || x.Method == http.MethodPatch {
-		b = line(b, "Content-Length", strconv.Itoa(len(x.Body)))
+		b = appendHeader(b, "Content-Length", strconv.Itoa(len(x.Body)))
 	}
 	return append(b, "\r\n"...)
 }
 
-// headSize is room for a usual request's head, in bytes.
-const headSize = 768
+// initialHeadSize is the initial capacity for a request's head in bytes, enough for most
+// requests.
+const initialHeadSize = 768
 
-func line(b []byte, name, value string) []byte {
+// appendHeader appends a header line to the head of a request.
+func appendHeader(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
 	b = append(b, value...)
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -18,190 +18,194 @@
 )
 
 const (
-	// firstShare is the time, in percent of the goal, after which a target
-	// without a first event counts as silent where another may take over.
-	firstShare = 150
-	// pauses is the number of usual pauses after which a stream counts as
-	// silent where another engine may take over.
-	pauses = 4
-	// minSilence is the least time that counts as silence.
+	// firstEventGoalPercent is the time, in percent of the route's goal, after which a target
+	// that has sent nothing counts as silent, if another one may take over.
+	firstEventGoalPercent = 150
+	// maxSilentPauses is the time, in multiples of the route's maximum pause between events,
+	// after which a stream counts as silent, if another engine may take over.
+	maxSilentPauses = 4
+	// minSilence is the shortest time after which a target counts as silent.
 	minSilence = 600 * time.Millisecond
-	// maxKept bounds an answer that is held until it is whole, in bytes.
-	maxKept = 256 << 10
+	// maxBufferedAnswer is the size, in bytes, up to which an answer is buffered until it is
+	// complete.
+	maxBufferedAnswer = 256 << 10
 )
 
 var (
-	// errSilent means that a target showed no sign for too long.
+	// errSilent is the cancellation cause when a target has sent nothing for too long.
 	errSilent = errors.New("target silent")
-	// errRestarted means that the target's process ended and started again.
+	// errRestarted is the cancellation cause when the target's process was restarted.
 	errRestarted = errors.New("target restarted")
 )
 
-// kept is a whole answer.
-type kept struct {
+// bufferedAnswer is an answer that has been received completely.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// try sends the request to one target and passes the answer on. It returns
-// nil if the request is over.
-func (x *run) try(ctx context.Context, to balance.Target) *failure {
+// sendTo sends the request to one target and forwards the answer. It returns nil if the answer
+// was forwarded completely.
+func (x *inflight) sendTo(ctx context.Context, to balance.Target) *failure {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := x.watch(cancel)
-	defer watch.Stop()
+	silence := x.startSilenceTimer(cancel)
+	defer silence.Stop()
 	x.ticket.OnLost(func() { cancel(errRestarted) })
 	defer x.ticket.OnLost(nil)
 	answer, err := x.sender.Send(ctx, to.Address, httptarget.Request{
-		Method: x.Method, Head: x.head(to, x.deadline), Body: x.Body, Instance: to.Incarnation(),
+		Method: x.Method, Head: x.requestHead(to, x.deadline), Body: x.Body, Instance: to.Incarnation(),
 		ID: x.ID, IDHeader: x.dialect.RequestID,
 	})
 	if err != nil {
 		return x.sendFailed(ctx, to, err)
 	}
 	x.verdict.Sends++
-	x.answers = false
-	x.advised(to, answer)
-	f := x.receive(ctx, answer, watch)
+	x.answerStarted = false
+	x.readAdvice(to, answer)
+	f := x.forwardAnswer(ctx, answer, silence)
 	answer.Close()
 	if f == nil {
-		x.end(balance.Answered)
+		x.endSend(balance.Answered)
 		if x.suspects.View() != nil {
-			x.survived()
+			x.clearSuspicion()
 		}
 		return nil
 	}
 	if context.Cause(ctx) != nil {
-		f = x.stopped(ctx, f.cause)
+		f = x.cancelledFailure(ctx, f.cause)
 	}
-	x.end(f.result)
+	x.endSend(f.result)
 	return f
 }
 
-// sendFailed notes that no answer came.
-func (x *run) sendFailed(ctx context.Context, to balance.Target, err error) *failure {
+// sendFailed handles a send that got no answer: not even its head was received.
+func (x *inflight) sendFailed(ctx context.Context, to balance.Target, err error) *failure {
 	if errors.Is(err, httptarget.ErrNotSent) {
 		f := &failure{reason: ReasonUnreachable, result: balance.Unreachable, cause: err}
 		if errors.Is(err, httptarget.ErrNobodyListens) {
-			x.suspects.Ended(to)
+			x.suspects.RecordExit(to)
 		}
 		if ctx.Err() != nil {
-			f.result = balance.Left
+			f.result = balance.Abandoned
 		}
-		x.end(f.result)
+		x.endSend(f.result)
 		return f
 	}
 	x.verdict.Sends++
-	f := &failure{reason: ReasonBroken, result: balance.Failed, ran: true, cause: err}
+	f := &failure{reason: ReasonBroken, result: balance.Failed, mayHaveRun: true, cause: err}
 	if ctx.Err() != nil {
-		f = x.stopped(ctx, err)
+		f = x.cancelledFailure(ctx, err)
 	}
-	x.end(f.result)
+	x.endSend(f.result)
 	return f
 }
 
-// stopped returns the failure of an exchange that the router ended itself.
-func (x *run) stopped(ctx context.Context, err error) *failure {
+// cancelledFailure returns the failure of an exchange that was cancelled by this router, or
+// because the caller disconnected.
+func (x *inflight) cancelledFailure(ctx context.Context, err error) *failure {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, errSilent):
-		return &failure{reason: ReasonSilent, result: balance.Failed, ran: true, cause: err}
+		return &failure{reason: ReasonSilent, result: balance.Failed, mayHaveRun: true, cause: err}
 	case errors.Is(cause, errRestarted):
-		return &failure{reason: ReasonRestarted, result: balance.Failed, ran: true, cause: err}
+		return &failure{reason: ReasonRestarted, result: balance.Failed, mayHaveRun: true, cause: err}
 	}
-	return &failure{reason: ReasonGone, result: balance.Left, ran: true, cause: err}
+	return &failure{reason: ReasonGone, result: balance.Abandoned, mayHaveRun: true, cause: err}
 }
 
-func (x *run) end(how balance.Result) {
+// endSend tells the control thread how the current send ended.
+func (x *inflight) endSend(result balance.Result) {
 	t := x.ticket
-	x.loop.Post(func(s *balance.State, now time.Time) { s.Ended(now, t, how) })
+	x.loop.Post(func(s *balance.State, now time.Time) { s.Ended(now, t, result) })
 }
 
-// begun notes that a piece of the answer has come. The control thread hears of
-// the first one of each send: a message for each event of a stream would wake it
+// recordPiece records that a piece of the answer has arrived. It notifies the control thread of
+// the first piece of each send only: a message for each event of a stream would wake it
 // thousands of times a second.
-func (x *run) begun() {
+func (x *inflight) recordPiece() {
 	if x.verdict.First == 0 {
 		x.verdict.First = clock.Since(x.Arrived)
 	}
 	x.ticket.Heard.Store(clock.Since(x.ticket.Arrived).Nanoseconds())
-	if x.answers {
+	if x.answerStarted {
 		return
 	}
-	x.answers = true
+	x.answerStarted = true
 	t := x.ticket
-	x.loop.Post(func(s *balance.State, now time.Time) { s.Begun(now, t) })
+	x.loop.Post(func(s *balance.State, now time.Time) { s.Started(now, t) })
 }
 
-// watch returns a timer that ends the exchange when the target is silent for
-// too long and another may take over, or one that does nothing where none may.
-func (x *run) watch(cancel context.CancelCauseFunc) *time.Timer {
+// startSilenceTimer returns a timer that cancels the exchange when the target is silent for
+// too long and another one may take over. If no further send is allowed, it does nothing.
+func (x *inflight) startSilenceTimer(cancel context.CancelCauseFunc) *time.Timer {
 	if !x.Route.Repeatable() || x.verdict.Sends+1 >= x.Route.MaxAttempts {
 		return time.AfterFunc(clock.Until(x.deadline), func() {})
 	}
 	t := x.ticket
-	return time.AfterFunc(max(x.Route.Goal*firstShare/100, minSilence), func() {
+	return time.AfterFunc(max(x.Route.Goal*firstEventGoalPercent/100, minSilence), func() {
 		x.loop.Post(func(s *balance.State, now time.Time) {
-			if s.MayLeave(now, t, minSilence) {
+			if s.MaySwitch(now, t, minSilence) {
 				cancel(errSilent)
 			}
 		})
 	})
 }
 
-// receive passes an answer on, or returns why it cannot be.
-func (x *run) receive(ctx context.Context, a *httptarget.Answer, watch *time.Timer) *failure {
+// forwardAnswer forwards an answer, or returns why it could not.
+func (x *inflight) forwardAnswer(ctx context.Context, a *httptarget.Answer, silence *time.Timer) *failure {
 	if a.Header.Get(x.dialect.NotRun) != "" || a.Status == http.StatusMisdirectedRequest {
 		cause := errors.Errorf("status %d", a.Status)
-		if _, err := io.Copy(io.Discard, io.LimitReader(a, maxKept)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(a, maxBufferedAnswer)); err != nil {
 			cause = errors.Wrap(err, cause.Error())
 		}
 		return &failure{reason: ReasonRefused, result: balance.Refused, cause: cause}
 	}
 	if x.Route.Kind == routing.Streaming && a.Status == http.StatusOK {
-		return x.stream(ctx, a, watch)
+		return x.forwardStream(ctx, a, silence)
 	}
-	return x.whole(a)
+	return x.forwardBuffered(a)
 }
 
-// whole passes on an answer that is not a stream, once all of it has come.
-func (x *run) whole(a *httptarget.Answer) *failure {
-	if a.Length() > maxKept {
-		return x.long(a)
+// forwardBuffered forwards an answer that is not a stream. It buffers the answer first, so
+// that the request can be retried if the answer breaks off, unless it is too long for that.
+func (x *inflight) forwardBuffered(a *httptarget.Answer) *failure {
+	if a.Length() > maxBufferedAnswer {
+		return x.forwardUnbuffered(a)
 	}
-	body, err := io.ReadAll(io.LimitReader(a, maxKept+1))
+	body, err := io.ReadAll(io.LimitReader(a, maxBufferedAnswer+1))
 	if err != nil {
-		return &failure{reason: ReasonBroken, result: balance.Failed, ran: true, cause: err}
+		return &failure{reason: ReasonBroken, result: balance.Failed, mayHaveRun: true, cause: err}
 	}
-	if len(body) > maxKept {
-		return &failure{reason: ReasonBroken, result: balance.Failed, ran: true, cause: errors.New("answer without length too long")}
+	if len(body) > maxBufferedAnswer {
+		return &failure{reason: ReasonBroken, result: balance.Failed, mayHaveRun: true, cause: errors.New("answer without Content-Length is too long to buffer")}
 	}
-	x.begun()
-	k := &kept{status: a.Status, header: x.answerHeader(a.Header), body: body}
+	x.recordPiece()
+	whole := &bufferedAnswer{status: a.Status, header: x.answerHeader(a.Header), body: body}
 	if a.Status >= http.StatusInternalServerError {
-		return &failure{reason: ReasonFailed, result: balance.Answered, ran: true, answer: k, cause: errors.Errorf("status %d", a.Status)}
+		return &failure{reason: ReasonFailed, result: balance.Answered, mayHaveRun: true, errorAnswer: whole, cause: errors.Errorf("status %d", a.Status)}
 	}
 	if x.verdict.Begun {
-		return &failure{reason: ReasonFailed, result: balance.Answered, ran: true, cause: errors.Errorf("status %d instead of the rest of a stream", a.Status)}
+		return &failure{reason: ReasonFailed, result: balance.Answered, mayHaveRun: true, cause: errors.Errorf("status %d instead of the resumed stream", a.Status)}
 	}
-	x.pass(k)
+	x.writeAnswer(whole)
 	return nil
 }
 
-// pass hands a whole answer to the caller.
-func (x *run) pass(k *kept) {
+// writeAnswer sends a buffered answer to the caller.
+func (x *inflight) writeAnswer(a *bufferedAnswer) {
 	x.verdict.Begun = true
-	x.verdict.Status = k.status
-	x.caller.Head(k.status, k.header, int64(len(k.body)))
-	if err := x.caller.Write(k.body); err != nil {
+	x.verdict.Status = a.status
+	x.caller.Head(a.status, a.header, int64(len(a.body)))
+	if err := x.caller.Write(a.body); err != nil {
 		x.verdict.Cut = true
 		x.verdict.Reason = ReasonGone
 	}
 }
 
-// long passes on an answer of known length while it comes.
-func (x *run) long(a *httptarget.Answer) *failure {
-	x.begun()
+// forwardUnbuffered forwards an answer of known length while it is being received.
+func (x *inflight) forwardUnbuffered(a *httptarget.Answer) *failure {
+	x.recordPiece()
 	x.verdict.Begun = true
 	x.verdict.Status = a.Status
 	x.caller.Head(a.Status, x.answerHeader(a.Header), a.Length())
@@ -209,26 +213,26 @@
 	for {
 		n, err := a.Read(buffer)
 		if n > 0 {
-			if werr := x.caller.Write(buffer[:n]); werr != nil {
-				return &failure{reason: ReasonGone, result: balance.Left, ran: true, cause: werr}
+			if writeErr := x.caller.Write(buffer[:n]); writeErr != nil {
+				return &failure{reason: ReasonGone, result: balance.Abandoned, mayHaveRun: true, cause: writeErr}
 			}
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return &failure{reason: ReasonBroken, result: balance.Failed, ran: true, cause: err}
+			return &failure{reason: ReasonBroken, result: balance.Failed, mayHaveRun: true, cause: err}
 		}
 	}
 }
 
-// stream passes on events as they come.
-func (x *run) stream(ctx context.Context, a *httptarget.Answer, watch *time.Timer) *failure {
-	events := newEvents(a)
+// forwardStream forwards a stream of events as they arrive.
+func (x *inflight) forwardStream(ctx context.Context, a *httptarget.Answer, silence *time.Timer) *failure {
+	reader := newEventReader(a)
 	for {
-		batch, err := events.next(x.last)
+		batch, err := reader.next(x.lastEventID)
 		if len(batch) > 0 {
-			if f := x.events(a, events, batch, watch); f != nil {
+			if f := x.forwardBatch(a, reader, batch, silence); f != nil {
 				return f
 			}
 		}
@@ -239,49 +243,50 @@
 			return nil
 		}
 		if err != nil {
-			return &failure{reason: ReasonBroken, result: balance.Failed, ran: true, cause: err}
+			return &failure{reason: ReasonBroken, result: balance.Failed, mayHaveRun: true, cause: err}
 		}
 		x.coalesce(ctx)
 	}
 }
 
-// coalesceShare is the part, in percent, of the pause between events that callers aim
-// for during which a router that is short of processor time lets events come
-// together: the rest is for the engine and for the router's own queue. A stream of 40
-// events 50 ms apart takes 1.8 instead of 2.2 ms of processor time, the engine's and
-// the caller's part included (BenchmarkStreams).
-const coalesceShare = 25
+// maxCoalescePercent is the longest time, in percent of the route's maximum pause, for which a
+// router that is short of processor time collects events before it forwards them together.
+// The rest of the pause is left to the engine and to the router's own queue. For a stream of
+// 40 events 50 ms apart this takes 1.8 ms of processor time instead of 2.2 ms, including the
+// engine's and the caller's part (BenchmarkStreams).
+const maxCoalescePercent = 25
 
-// coalesce lets the next events of a stream come together where the router is short of
-// processor time.
-func (x *run) coalesce(ctx context.Context) {
-	d := time.Duration(x.loop.Coalesce() * float64(x.Route.MaxPause*coalesceShare/100))
+// coalesce waits for further events of a stream, to forward them together, if the router is
+// short of processor time.
+func (x *inflight) coalesce(ctx context.Context) {
+	d := time.Duration(x.loop.Coalesce() * float64(x.Route.MaxPause*maxCoalescePercent/100))
 	if d > 0 {
 		group.SleepUntil(ctx, clock.Now().Add(d))
 	}
 }
 
-// events passes on whole events.
-func (x *run) events(a *httptarget.Answer, events *events, batch []byte, watch *time.Timer) *failure {
-	if x.passed == 0 || !x.verdict.Begun {
+// forwardBatch forwards a batch of whole events and restarts the silence timer.
+func (x *inflight) forwardBatch(a *httptarget.Answer, reader *eventReader, batch []byte, silence *time.Timer) *failure {
+	if x.forwardedEvents == 0 || !x.verdict.Begun {
 		x.startStream(a)
 	}
-	x.begun()
+	x.recordPiece()
 	if err := x.caller.Write(batch); err != nil {
-		return &failure{reason: ReasonGone, result: balance.Left, ran: true, cause: err}
+		return &failure{reason: ReasonGone, result: balance.Abandoned, mayHaveRun: true, cause: err}
 	}
 	x.ticket.Pieces.Add(1)
-	x.passed += events.count
-	x.last = events.last
+	x.forwardedEvents += reader.batchCount
+	x.lastEventID = reader.lastID
 	if x.Route.Repeatable() && x.verdict.Sends < x.Route.MaxAttempts {
-		watch.Reset(max(pauses*x.Route.MaxPause, minSilence))
+		silence.Reset(max(maxSilentPauses*x.Route.MaxPause, minSilence))
 		return nil
 	}
-	watch.Stop()
+	silence.Stop()
 	return nil
 }
 
-func (x *run) startStream(a *httptarget.Answer) {
+// startStream sends the head of a stream to the caller, unless an earlier target's was sent.
+func (x *inflight) startStream(a *httptarget.Answer) {
 	if x.verdict.Begun {
 		return
 	}
@@ -290,32 +295,33 @@
 	x.caller.Head(a.Status, x.answerHeader(a.Header), -1)
 }
 
-// answerHeader returns what is passed on of an answer's header.
-func (x *run) answerHeader(h http.Header) http.Header {
+// answerHeader returns the headers of an answer that are forwarded to the caller.
+func (x *inflight) answerHeader(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
-		if !hopByHop[name] && !named(h["Connection"], name) {
+		if !hopByHop[name] && !listedIn(h["Connection"], name) {
 			out[name] = values
 		}
 	}
 	return out
 }
 
-// hopByHop lists the headers that concern one connection only (RFC 9110,
-// section 7.6.1), and the length, which is set anew.
+// hopByHop lists the headers that apply to one connection only (RFC 9110, section 7.6.1),
+// and Content-Length, which the router sets itself.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true,
 }
 
-// HopByHop reports whether a header, in canonical form, concerns one
-// connection only, given the values of the Connection header beside it.
+// HopByHop reports whether a header, whose name is in canonical form, applies to one
+// connection only. connection holds the values of the message's Connection header.
 func HopByHop(name string, connection []string) bool {
-	return hopByHop[name] || named(connection, name)
+	return hopByHop[name] || listedIn(connection, name)
 }
 
-func named(connection []string, name string) bool {
+// listedIn reports whether a Connection header lists the header name.
+func listedIn(connection []string, name string) bool {
 	for _, v := range connection {
 		for token := range strings.SplitSeq(v, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), name) {
@@ -326,12 +332,12 @@
 	return false
 }
 
-// eventEnd ends an event.
-var eventEnd = []byte("\n\n")
+// eventTerminator ends an event whose lines end in LF.
+var eventTerminator = []byte("\n\n")
 
-// indexEnd returns the index after the first whole event in b, -1 if none.
-func indexEnd(b []byte) int {
-	lf := bytes.Index(b, eventEnd)
+// eventEndOffset returns the offset just after the first whole event in b, or -1 if there is none.
+func eventEndOffset(b []byte) int {
+	lf := bytes.Index(b, eventTerminator)
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
 	switch {
 	case lf < 0 && crlf < 0:
--- a/internal/httptarget/ended_test.go
+++ b/internal/httptarget/ended_test.go
@@ -15,28 +15,28 @@
 	"github.com/stepcroft/stepcroft/internal/httptarget"
 )
 
-// TestEnded asks whether the processes of targets have ended, many times at once as where a
-// target breaks off all that it runs.
-func TestEnded(t *testing.T) {
+// TestProcessExited calls ProcessExited many times at once, as happens when a target breaks
+// off all its requests.
+func TestProcessExited(t *testing.T) {
 	g := group.New(t.Context())
 	defer g.Stop()
-	sound := httptest.NewServer(http.NotFoundHandler())
-	defer sound.Close()
+	running := httptest.NewServer(http.NotFoundHandler())
+	defer running.Close()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone := l.Addr().String()
+	closed := l.Addr().String()
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for address, want := range map[string]bool{sound.Listener.Addr().String(): false, gone: true} {
+	for address, want := range map[string]bool{running.Listener.Addr().String(): false, closed: true} {
 		transport := httptarget.New(g)
 		var wait sync.WaitGroup
 		for range 20 {
 			wait.Go(func() {
-				if got := transport.Ended(t.Context(), address, "t"); got != want {
-					t.Errorf("%s ended: %v, want %v", address, got, want)
+				if got := transport.ProcessExited(t.Context(), address, "t"); got != want {
+					t.Errorf("%s exited: %v, want %v", address, got, want)
 				}
 			})
 		}
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestProbeIsKept has a probe's connection used by the next request.
-func TestProbeIsKept(t *testing.T) {
+// TestProbeConnectionIsReused checks that the next request reuses the connection of a probe.
+func TestProbeConnectionIsReused(t *testing.T) {
 	g := group.New(t.Context())
 	defer g.Stop()
 	server := httptest.NewServer(http.NotFoundHandler())
@@ -54,8 +54,8 @@
 	transport := httptarget.New(g)
 	defer transport.Close()
 	address := server.Listener.Addr().String()
-	if transport.Ended(t.Context(), address, "t") {
-		t.Fatal("a sound target ended")
+	if transport.ProcessExited(t.Context(), address, "t") {
+		t.Fatal("a running target was reported as exited")
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -67,12 +67,12 @@
 	}
 	a.Close()
 	if s := transport.Stats(); s.Dialled != 1 || s.Reused != 1 {
-		t.Errorf("%+v, want one connection used again", s)
+		t.Errorf("%+v, want one connection, used twice", s)
 	}
 }
 
-// TestNobodyListens tells a refused connection from others that are not made.
-func TestNobodyListens(t *testing.T) {
+// TestConnectionRefused checks that a refused connection differs from other failures to connect.
+func TestConnectionRefused(t *testing.T) {
 	g := group.New(t.Context())
 	defer g.Stop()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,9 +87,9 @@
 	if !errors.Is(err, httptarget.ErrNobodyListens) || !errors.Is(err, httptarget.ErrNotSent) {
 		t.Errorf("refused: %v", err)
 	}
-	gone, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = httptarget.New(g).Send(gone, address, httptarget.Request{Method: http.MethodGet})
+	_, err = httptarget.New(g).Send(cancelled, address, httptarget.Request{Method: http.MethodGet})
 	if errors.Is(err, httptarget.ErrNobodyListens) || !errors.Is(err, httptarget.ErrNotSent) {
 		t.Errorf("cancelled: %v", err)
 	}
