--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -91,15 +91,15 @@
 	// which that ends.
 	ColdLeft  time.Duration
 	ColdUntil time.Time
-	// Lapsed is when the target's entry lapsed, that is, when its TTL ran out while the store
-	// was unavailable; zero for a listed target. The target may be used without an entry until
-	// Until, or until the store is back if Until is zero.
-	Lapsed, Until time.Time
+	// LapsedAt is when the target's entry lapsed, that is, when its TTL ran out while the
+	// store was unavailable; zero for a listed target. The target may be used without an entry
+	// until UsableUntil, or until the store is back if UsableUntil is zero.
+	LapsedAt, UsableUntil time.Time
 }
 
 // Closed reports whether a target gets no new requests.
 func (t Target) Closed(now time.Time) bool {
-	return t.Leaving || t.Drained || !t.Until.IsZero() && !now.Before(t.Until)
+	return t.Leaving || t.Drained || !t.UsableUntil.IsZero() && !now.Before(t.UsableUntil)
 }
 
 // target is a Target with the state that this router keeps about it.
@@ -141,7 +141,7 @@
 	targets map[string]*target
 	// services has the targets of each service, sorted by id.
 	services map[string][]*target
-	// paces has the learnt prefill times of the engines of each service.
+	// paces has the models of prefill times that were learnt for each service's engines.
 	paces map[string]*pace.Model
 	queue []*Ticket
 	// lastDispatch is when the queue was last searched.
@@ -149,8 +149,8 @@
 	shares       shares
 	// peers is what other routers reported.
 	peers *view.View
-	// runningPeers is the number of other routers believed to be runningPeers, servingPeers
-	// how many of those serve callers.
+	// runningPeers is the number of other routers believed to be running, servingPeers how
+	// many of those serve callers.
 	runningPeers, servingPeers int
 	level                      level
 	budget                     budget
@@ -233,7 +233,7 @@
 // another one: the target has sent nothing for the time silent, the retry budget allows it,
 // and there is another usable target.
 func (s *State) MaySwitch(now time.Time, t *Ticket, silent time.Duration) bool {
-	if t.target == nil || now.Sub(t.Arrived)-time.Duration(t.Heard.Load()) < silent {
+	if t.target == nil || now.Sub(t.Arrived)-time.Duration(t.LastReceived.Load()) < silent {
 		return false
 	}
 	if !s.budget.allowRetry(now, t.Service, s.limits, s.routers()) {
@@ -280,7 +280,7 @@
 	t.target = to
 	t.sentAt = now
 	t.foundFreeSlot = !t.Engine && s.loadOf(now, to).Running < to.Slots
-	t.load = view.Load{PendingTokens: p.missTokens, Running: 1, MemoryTokens: t.unsharedTokens()}
+	t.load = view.Load{PendingTokens: p.uncachedTokens, Running: 1, MemoryTokens: t.unsharedTokens()}
 	t.work = p.work
 	to.localLoad = to.localLoad.Plus(t.load)
 	to.waiting = append(to.waiting, t)
@@ -292,15 +292,15 @@
 		s.shares.addServed(now, t.Organisation, t.tokens())
 		s.throttle.RecordSent(t.Organisation, t.size())
 	}
-	if s.notify != nil && s.notifyLimiter.allow(now, p.missTokens, s.servingPeers+1) {
+	if s.notify != nil && s.notifyLimiter.allow(now, p.uncachedTokens, s.servingPeers+1) {
 		s.notify(to.incarnation, to.localLoad, t.load)
 	}
-	d := Decision{Target: to.Target, Waited: now.Sub(t.Arrived), Unread: s.loadOf(now, to).PendingTokens, Miss: p.missTokens}
+	d := Decision{Target: to.Target, Waited: now.Sub(t.Arrived), PendingTokens: s.loadOf(now, to).PendingTokens, UncachedTokens: p.uncachedTokens}
 	if p.source != nil {
-		d.Source, d.Fetched = p.source.Target, p.fetchTokens
+		d.Source, d.FetchedTokens = p.source.Target, p.fetchTokens
 	}
-	if !to.Lapsed.IsZero() {
-		d.Lapsed = now.Sub(to.Lapsed)
+	if !to.LapsedAt.IsZero() {
+		d.LapsedFor = now.Sub(to.LapsedAt)
 	}
 	t.Decision <- d
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -148,7 +148,7 @@
 		list := targets(2)
 		for i := range list {
 			if list[i].ID == "e0" || list[i].ID == "p0" {
-				list[i].Lapsed, list[i].Until = w.now, w.now.Add(time.Second)
+				list[i].LapsedAt, list[i].UsableUntil = w.now, w.now.Add(time.Second)
 			}
 		}
 		w.SetTargets(w.now, list)
@@ -156,7 +156,7 @@
 		used := map[string]time.Duration{}
 		for range 6 {
 			d := w.arrive(w.plain())
-			used[d.Target.ID] = d.Lapsed
+			used[d.Target.ID] = d.LapsedFor
 		}
 		Expect(used).To(Equal(map[string]time.Duration{"p0": 300 * time.Millisecond, "p1": 0}))
 		w.pass(time.Second)
@@ -212,8 +212,8 @@
 		Expect(home.Source.ID).To(BeEmpty())
 		Expect(away).NotTo(BeNil())
 		Expect(away.Source.ID).To(Equal(home.Target.ID))
-		Expect(away.Miss).To(Equal(1000))
-		Expect(away.Fetched).To(Equal(6000))
+		Expect(away.UncachedTokens).To(Equal(1000))
+		Expect(away.FetchedTokens).To(Equal(6000))
 	})
 
 	It("are not fetched for organisations over their share", func() {
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -41,10 +41,10 @@
 // placement is a target that can take a request, with what the request would cost there.
 type placement struct {
 	*target
-	// missTokens is the number of prompt tokens that the target would have to missTokens,
+	// uncachedTokens is the number of prompt tokens that the target would have to read,
 	// fetchTokens the number that it would fetch from source instead.
-	missTokens, fetchTokens int
-	work                    pace.Work
+	uncachedTokens, fetchTokens int
+	work                        pace.Work
 	// first is the expected time from sending the request to its first event. safe is a
 	// conservative estimate of the same.
 	first, safe time.Duration
@@ -72,10 +72,10 @@
 	var lowest time.Duration
 	for i, c := range candidates {
 		p := k.placementAt(c, s.missing[i], own)
-		p.work = pace.Work{Ahead: s.pendingTokens(now, c, model), Uncached: p.missTokens}
+		p.work = pace.Work{Ahead: s.pendingTokens(now, c, model), Uncached: p.uncachedTokens}
 		p.first = model.Predict(p.work)
 		p.safe = p.first + time.Duration(model.RelativeError()*float64(p.first))
-		away := c != k.home && p.missTokens+p.fetchTokens > own
+		away := c != k.home && p.uncachedTokens+p.fetchTokens > own
 		if over && away || !s.fits(now, c, t) || !r.admits(p, model) {
 			continue
 		}
@@ -88,7 +88,7 @@
 
 // cost returns the cost of sending a request to a placement, as a time.
 func (s *State) cost(now time.Time, p placement, home bool, r room, m *pace.Model) time.Duration {
-	cost := p.first + m.PrefillTime(p.missTokens*rereadPercent/100+p.fetchTokens*fetchPercent/100)
+	cost := p.first + m.PrefillTime(p.uncachedTokens*rereadPercent/100+p.fetchTokens*fetchPercent/100)
 	cost += time.Duration(s.loadOf(now, p.target).Running) * slotCost
 	if p.Zone != s.zone {
 		cost += otherZoneCost
@@ -155,11 +155,11 @@
 	}
 	switch {
 	case k.missing < missing && (k.missing <= own || c == k.home):
-		return placement{target: c, missTokens: min(read, k.missing), fetchTokens: read - min(read, k.missing), source: k.best}
+		return placement{target: c, uncachedTokens: min(read, k.missing), fetchTokens: read - min(read, k.missing), source: k.best}
 	case c != k.home && own < read:
-		return placement{target: c, missTokens: own, fetchTokens: read - own, source: k.home}
+		return placement{target: c, uncachedTokens: own, fetchTokens: read - own, source: k.home}
 	}
-	return placement{target: c, missTokens: read}
+	return placement{target: c, uncachedTokens: read}
 }
 
 // ownTokens returns the number of tokens of the prompt's last part, which no other session
--- a/internal/balance/loop.go
+++ b/internal/balance/loop.go
@@ -67,15 +67,15 @@
 	m.lastAt, m.lastUsed = now, used
 }
 
-// Meter makes the loop measure how much of a number of cores the router uses; used returns the
-// processor time used since the start. It must be called before Run.
-func (l *Loop) Meter(used func() time.Duration, cores float64) {
+// SetMeter makes the loop measure how much of a number of cores the router uses; used returns
+// the processor time used since the start. It must be called before Run.
+func (l *Loop) SetMeter(used func() time.Duration, cores float64) {
 	l.meter.used, l.meter.cores = used, cores
 }
 
-// OnAwake sets a function that is called, like an event, when the box resumes after it was
+// OnResume sets a function that is called, like an event, when the box resumes after it was
 // suspended; missed is the time for which it was. It must be called before Run.
-func (l *Loop) OnAwake(f func(s *State, now time.Time, missed time.Duration)) { l.onResume = f }
+func (l *Loop) OnResume(f func(s *State, now time.Time, missed time.Duration)) { l.onResume = f }
 
 // checkSuspended detects that the box was suspended, before any decision is based on the time.
 func (l *Loop) checkSuspended() {
@@ -126,16 +126,17 @@
 	l.gates.Store(&gates)
 }
 
-// Busy returns the fraction of its cores that the router used in the last measurement.
-func (l *Loop) Busy() float64 { return math.Float64frombits(l.busy.Load()) }
+// CPUUtilisation returns the fraction of its cores that the router used in the last
+// measurement.
+func (l *Loop) CPUUtilisation() float64 { return math.Float64frombits(l.busy.Load()) }
 
-// Coalesce returns how much streams should coalesce events to save processor time, from 0 (not
-// at all) to 1 (as long as callers accept).
-func (l *Loop) Coalesce() float64 { return math.Float64frombits(l.coalesce.Load()) }
+// CoalesceLevel returns how much streams should coalesce events to save processor time, from 0
+// (not at all) to 1 (as long as callers accept).
+func (l *Loop) CoalesceLevel() float64 { return math.Float64frombits(l.coalesce.Load()) }
 
-// Throttles reports whether the requests of any organisation are shed. Any goroutine may call
+// Throttling reports whether the requests of any organisation are shed. Any goroutine may call
 // it.
-func (l *Loop) Throttles() bool { return l.gates.Load() != nil }
+func (l *Loop) Throttling() bool { return l.gates.Load() != nil }
 
 func (l *Loop) gate(organisation string) *throttle.Gate {
 	gates := l.gates.Load()
@@ -145,9 +146,9 @@
 	return (*gates)[organisation]
 }
 
-// Crowded returns why another request of an organisation to engines is to be shed before it is
+// Check returns why another request of an organisation to engines is to be shed before it is
 // parsed, or "" if it is not. Any goroutine may call it.
-func (l *Loop) Crowded(organisation string, o throttle.RequestSize) Reason {
+func (l *Loop) Check(organisation string, o throttle.RequestSize) Reason {
 	if g := l.gate(organisation); g != nil {
 		return Reason(g.Check(o))
 	}
@@ -166,9 +167,9 @@
 // Post queues an event, to be applied soon and in order.
 func (l *Loop) Post(e Event) { l.events <- e }
 
-// Ask queues an event and waits until it has been applied; it returns false if ctx ended
-// before that.
-func (l *Loop) Ask(ctx context.Context, e Event) bool {
+// PostAndWait queues an event and waits until it has been applied; it returns false if ctx
+// ended before that.
+func (l *Loop) PostAndWait(ctx context.Context, e Event) bool {
 	done := make(chan struct{})
 	l.Post(func(s *State, now time.Time) {
 		e(s, now)
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -27,7 +27,7 @@
 	// maxBacklog bounds the time that the engine takes to read its pending prompts, this
 	// request included.
 	maxBacklog time.Duration
-	// remaining is the time remaining until the first event is due.
+	// remaining is the time left until the first event is due.
 	remaining time.Duration
 	// timely is set if the request may also be sent to an engine with a larger backlog,
 	// provided its first event is expected in time.
@@ -60,7 +60,7 @@
 	if r.timely && p.safe <= r.remaining {
 		return true
 	}
-	return m.PrefillTime(p.work.Ahead)+min(m.PrefillTime(p.missTokens), r.maxBacklog/2) <= r.maxBacklog
+	return m.PrefillTime(p.work.Ahead)+min(m.PrefillTime(p.uncachedTokens), r.maxBacklog/2) <= r.maxBacklog
 }
 
 // pace returns the model of prefill times of the engines of a service.
--- a/internal/balance/ticket.go
+++ b/internal/balance/ticket.go
@@ -32,9 +32,9 @@
 	// Resumes is set if the caller already has a part of the answer and the rest is requested.
 	// Such a request waits up to maxResumeWait and overtakes all others.
 	Resumes bool
-	// Heard is when the target last sent a part of the answer, in nanoseconds after Arrived.
-	// The request's own goroutine sets it.
-	Heard atomic.Int64
+	// LastReceived is when the target last sent a part of the answer, in nanoseconds after
+	// Arrived. The request's own goroutine sets it.
+	LastReceived atomic.Int64
 	// Pieces is the number of pieces in which the answer was forwarded. The request's own
 	// goroutine sets it.
 	Pieces atomic.Int64
@@ -48,8 +48,8 @@
 	load    view.Load
 	work    pace.Work
 	started bool
-	// foundFreeSlot is set if the target of a plain service had a foundFreeSlot slot when the
-	// request was sent.
+	// foundFreeSlot is set if the target of a plain service had a free slot when the request
+	// was sent.
 	foundFreeSlot bool
 	sentAt        time.Time
 	expires       time.Time
@@ -64,18 +64,18 @@
 	RetryAfter time.Duration
 	// Waited is the time from arrival to the decision.
 	Waited time.Duration
-	// Unread is the target's pending prompt tokens (prefill backlog), including this
+	// PendingTokens is the target's prefill backlog in prompt tokens, including this
 	// request's.
-	Unread int
-	// Miss is the number of prompt tokens that the target is expected to read. The rest is
-	// cached there or fetched.
-	Miss int
+	PendingTokens int
+	// UncachedTokens is the number of prompt tokens that the target is expected to read. The
+	// rest is cached there or fetched.
+	UncachedTokens int
 	// Source is an engine that caches more of the prompt than the target, and from which the
-	// target can fetch Fetched tokens; its ID is empty if there is none.
-	Source  Target
-	Fetched int
-	// Lapsed is how long ago the target's entry lapsed; 0 if the target is listed.
-	Lapsed time.Duration
+	// target can fetch FetchedTokens; its ID is empty if there is none.
+	Source        Target
+	FetchedTokens int
+	// LapsedFor is how long ago the target's entry lapsed; 0 if the target is listed.
+	LapsedFor time.Duration
 }
 
 // Reason is why a request is refused.
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -297,7 +297,7 @@
 		}
 		t := c.target(e)
 		if fixed {
-			t.Until = e.until
+			t.UsableUntil = e.until
 		}
 		list = append(list, t)
 	}
@@ -317,7 +317,7 @@
 // target returns the target that an entry names, as it is now.
 func (c *Catalog) target(e *entry) balance.Target {
 	t := e.target
-	t.Lapsed = e.lapsed
+	t.LapsedAt = e.lapsed
 	t.ColdUntil = e.coldUntil
 	t.Drained = c.drained(t.Zone)
 	t.Leaving = t.Leaving || !e.doubtUntil.IsZero()
--- a/internal/forward/coalesce_test.go
+++ b/internal/forward/coalesce_test.go
@@ -56,7 +56,7 @@
 			s.SetCPUUtilisation(now, busy, 1)
 		})
 		if busy > 0 {
-			Eventually(loop.Coalesce).Should(BeNumerically(">", 0))
+			Eventually(loop.CoalesceLevel).Should(BeNumerically(">", 0))
 		}
 		f := forward.New(forward.Dialect{RequestID: "X-Id", Deadline: "X-Wait-Ms", ExpectTarget: "X-Expect"}, httptarget.New(g), loop, noSuspects{}, logr.Discard(), discard{})
 		caller := &recordingCaller{}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -45,14 +45,14 @@
 // Crowded returns the reason to reject a request of an organisation to engines before it is
 // parsed, because the organisation sends more than the router can take in, or "" to read it.
 func (f *Forwarder) Crowded(organisation string, o throttle.RequestSize) Reason {
-	return Reason(f.loop.Crowded(organisation, o))
+	return Reason(f.loop.Check(organisation, o))
 }
 
 // Throttles reports whether requests of any organisation are rejected before parsing.
-func (f *Forwarder) Throttles() bool { return f.loop.Throttles() }
+func (f *Forwarder) Throttles() bool { return f.loop.Throttling() }
 
 // Short reports whether the router is short of processor time.
-func (f *Forwarder) Short() bool { return f.loop.Coalesce() > 0 }
+func (f *Forwarder) Short() bool { return f.loop.CoalesceLevel() > 0 }
 
 // Admit admits a request of an organisation to engines and returns "", or returns the reason
 // to reject it.
@@ -159,8 +159,8 @@
 			return balance.Target{}, false
 		}
 		x.verdict.Target = d.Target.ID
-		x.verdict.Unread, x.verdict.Miss, x.verdict.Fetched = d.Unread, d.Miss, d.Fetched
-		x.verdict.Lapsed = d.Lapsed
+		x.verdict.Unread, x.verdict.Miss, x.verdict.Fetched = d.PendingTokens, d.UncachedTokens, d.FetchedTokens
+		x.verdict.Lapsed = d.LapsedFor
 		x.fetchSource = d.Source
 		return d.Target, true
 	case <-ctx.Done():
@@ -267,7 +267,7 @@
 		return defaultRetryAfter
 	}
 	after := defaultRetryAfter
-	answered := x.loop.Ask(ctx, func(s *balance.State, now time.Time) {
+	answered := x.loop.PostAndWait(ctx, func(s *balance.State, now time.Time) {
 		if d, ok := s.BackoffLeft(now, x.Service); ok {
 			after = max(after, d)
 		}
@@ -309,7 +309,7 @@
 	t := x.ticket
 	unsent, resumes := x.verdict.Sends == 0, x.verdict.Begun
 	allowed := false
-	answered := x.loop.Ask(ctx, func(s *balance.State, now time.Time) {
+	answered := x.loop.PostAndWait(ctx, func(s *balance.State, now time.Time) {
 		t.Tried = append(t.Tried, to.Incarnation())
 		t.Resumes = resumes
 		if unsent {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -83,7 +83,7 @@
 		close(hold)
 		Eventually(func() int {
 			loads := -1
-			loop.Ask(context.Background(), func(s *balance.State, now time.Time) { loads = len(s.Report(now).Loads) })
+			loop.PostAndWait(context.Background(), func(s *balance.State, now time.Time) { loads = len(s.Report(now).Loads) })
 			return loads
 		}).Should(BeZero())
 	})
--- a/internal/forward/leaving_test.go
+++ b/internal/forward/leaving_test.go
@@ -47,7 +47,7 @@
 // setTargets replaces the list of targets.
 func (f *testForwarder) setTargets(t *testing.T, list ...balance.Target) {
 	t.Helper()
-	if !f.loop.Ask(t.Context(), func(s *balance.State, now time.Time) { s.SetTargets(now, list) }) {
+	if !f.loop.PostAndWait(t.Context(), func(s *balance.State, now time.Time) { s.SetTargets(now, list) }) {
 		t.Fatal("the control loop did not apply the list of targets")
 	}
 }
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -127,7 +127,7 @@
 	if x.verdict.First == 0 {
 		x.verdict.First = clock.Since(x.Arrived)
 	}
-	x.ticket.Heard.Store(clock.Since(x.ticket.Arrived).Nanoseconds())
+	x.ticket.LastReceived.Store(clock.Since(x.ticket.Arrived).Nanoseconds())
 	if x.answerStarted {
 		return
 	}
@@ -259,7 +259,7 @@
 // coalesce waits for further events of a stream, to forward them together, if the router is
 // short of processor time.
 func (x *inflight) coalesce(ctx context.Context) {
-	d := time.Duration(x.loop.Coalesce() * float64(x.Route.MaxPause*maxCoalescePercent/100))
+	d := time.Duration(x.loop.CoalesceLevel() * float64(x.Route.MaxPause*maxCoalescePercent/100))
 	if d > 0 {
 		group.SleepUntil(ctx, clock.Now().Add(d))
 	}
--- a/internal/gateway/awake_internal_test.go
+++ b/internal/gateway/awake_internal_test.go
@@ -66,7 +66,7 @@
 
 // sleep suspends the router's box.
 func sleep(g *Gateway, missed time.Duration) {
-	g.loop.Ask(context.Background(), func(s *balance.State, now time.Time) { g.awake(s, now, missed) })
+	g.loop.PostAndWait(context.Background(), func(s *balance.State, now time.Time) { g.awake(s, now, missed) })
 }
 
 // A key was taken away while a box was suspended; the router took it for valid afterwards,
@@ -100,7 +100,7 @@
 			}
 			if c.answer != nil {
 				c.answer.From = message.RouterRecord{ID: "b", Zone: "z", Peer: "127.0.0.1:1", Incarnation: 1, Version: 1}
-				g.loop.Ask(context.Background(), func(_ *balance.State, now time.Time) { g.confirmedBy(now, *c.answer) })
+				g.loop.PostAndWait(context.Background(), func(_ *balance.State, now time.Time) { g.confirmedBy(now, *c.answer) })
 				if confirmed := c.answer.Config <= 7; g.Ready() != confirmed {
 					t.Errorf("ready %v after the answer, want %v", g.Ready(), confirmed)
 				}
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -233,7 +233,7 @@
 // few of these, or one elsewhere if there is only one.
 func (g *Gateway) Addresses(ctx context.Context, zone string) []string {
 	var near, far []message.RouterRecord
-	g.loop.Ask(ctx, func(_ *balance.State, now time.Time) {
+	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
 		g.say()
 		for _, r := range g.roster.Live(now) {
 			if !r.Ready || r.Belief != message.Alive {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -198,8 +198,8 @@
 	g.cold = coldstart.NewSenders(now, g.roster, self.ID)
 	state.SetColdAllowance(g.cold.SendLimit)
 	g.loop = balance.NewLoop(state)
-	g.loop.Meter(metrics.ProcessorTime, o.Capacity)
-	g.loop.OnAwake(g.awake)
+	g.loop.SetMeter(metrics.ProcessorTime, o.Capacity)
+	g.loop.OnResume(g.awake)
 	g.transport = httptarget.New(g.group)
 	forwarder := forward.New(o.Dialect, g.transport, g.loop, suspects{g}, o.Log, o.Metrics)
 	g.server = ingress.New(o.Dialect, forwarder, g.observer(), ingress.Limits{
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -89,7 +89,7 @@
 	m.Set("target_connections", func() any { return g.transport.Stats() })
 	m.Set("peer_messages", func() any { return g.peers.Stats() })
 	m.Set("peer_datagrams", func() any { return g.datagrams.Stats() })
-	m.Set("processor_part", func() any { return g.loop.Busy() })
+	m.Set("processor_part", func() any { return g.loop.CPUUtilisation() })
 	m.Set("turned_away", func() any { return g.server.TurnedAway() })
 	m.Set("open_requests", func() any { return g.server.Open() })
 }
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -55,7 +55,7 @@
 // Suspects returns the requests that are suspected at this router.
 func (g *Gateway) Suspects(ctx context.Context) []Suspect {
 	list := []Suspect{}
-	g.loop.Ask(ctx, func(_ *balance.State, now time.Time) {
+	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
 		v := g.isolation.state.View()
 		for _, r := range g.isolation.state.All(now) {
 			list = append(list, newSuspect(now, v, r))
@@ -68,7 +68,7 @@
 // false if none is known.
 func (g *Gateway) Release(ctx context.Context, k quarantine.Key) bool {
 	known := false
-	g.loop.Ask(ctx, func(_ *balance.State, now time.Time) {
+	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
 		g.isolation.state.Clear(k)
 		known = g.isolation.state.Known(k)
 		g.Log.Info("request released by an operator", "content", k.String(), "known", known)
@@ -81,7 +81,7 @@
 // not come for an hour. It returns false if that was done too often.
 func (g *Gateway) Hold(ctx context.Context, k quarantine.Key, organisation string) bool {
 	held := false
-	g.loop.Ask(ctx, func(_ *balance.State, now time.Time) {
+	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
 		held = g.isolation.state.Hold(now, k, organisation, "operator")
 		g.Log.Info("request held back by an operator", "content", k.String(), "organisation", organisation, "held", held)
 		g.found(now)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -55,7 +55,7 @@
 // Broke implements forward.Suspects.
 func (g suspects) Broke(ctx context.Context, b forward.Break) int {
 	crashes := 0
-	g.loop.Ask(ctx, func(s *balance.State, now time.Time) {
+	g.loop.PostAndWait(ctx, func(s *balance.State, now time.Time) {
 		if g.announced(s, b.Target) {
 			return
 		}
@@ -73,7 +73,7 @@
 // the request tries it.
 func (g suspects) Try(ctx context.Context, k quarantine.Key, until time.Time) bool {
 	may := false
-	g.loop.Ask(ctx, func(_ *balance.State, now time.Time) {
+	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
 		may = g.ranksFirst(now, k) && g.isolation.state.Try(now, k, until)
 		if may {
 			g.Log.Info("request on trial", "content", k.String())
--- a/internal/gateway/quarantine_internal_test.go
+++ b/internal/gateway/quarantine_internal_test.go
@@ -45,7 +45,7 @@
 
 // saysThatItLeaves makes the only target of a service say in an answer that it leaves.
 func saysThatItLeaves(g *Gateway) {
-	g.loop.Ask(context.Background(), func(s *balance.State, now time.Time) {
+	g.loop.PostAndWait(context.Background(), func(s *balance.State, now time.Time) {
 		t := &balance.Ticket{
 			ID: "r", Service: "s", Goal: time.Second, Arrived: now, Deadline: now.Add(time.Second), Decision: make(chan balance.Decision, 1),
 		}
@@ -113,7 +113,7 @@
 	g := newOwn(t)
 	keeper := &kept{count: map[quarantine.Key]int{}}
 	key := quarantine.KeyOf("o", "POST", "/x", nil)
-	g.loop.Ask(context.Background(), func(*balance.State, time.Time) { g.Keeper = keeper })
+	g.loop.PostAndWait(context.Background(), func(*balance.State, time.Time) { g.Keeper = keeper })
 	for i := range 3 {
 		target := balance.Target{ID: fmt.Sprint("t", i), Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 1, Born: 5}
 		g.SetTargets(int64(8+i), []message.StoredObject{listedAs(t, int64(8+i), target)})
@@ -132,7 +132,7 @@
 	for range 3 {
 		g.StoreCameBackOlder(1)
 	}
-	g.loop.Ask(context.Background(), func(*balance.State, time.Time) {})
+	g.loop.PostAndWait(context.Background(), func(*balance.State, time.Time) {})
 	if n := count() - before; n != 1 {
 		t.Errorf("kept %d times after the store came back, want once", n)
 	}
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -53,7 +53,7 @@
 // beats does what is due towards the other routers.
 func (g *Gateway) beats(ctx context.Context) {
 	for next := clock.Now(); group.SleepUntil(ctx, next); next = clock.Now().Add(beatPeriod) {
-		g.loop.Ask(ctx, g.beat)
+		g.loop.PostAndWait(ctx, g.beat)
 	}
 }
 
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -66,7 +66,7 @@
 // StoreRevision returns the store's revision as of which the targets are known here.
 func (g *Gateway) StoreRevision(ctx context.Context) int64 {
 	known := int64(0)
-	if !g.loop.Ask(ctx, func(*balance.State, time.Time) { known = g.catalog.Revision() }) {
+	if !g.loop.PostAndWait(ctx, func(*balance.State, time.Time) { known = g.catalog.Revision() }) {
 		return 0
 	}
 	return known
@@ -87,7 +87,7 @@
 // hears no other ranks first.
 func (g *Gateway) Watches(ctx context.Context) bool {
 	watches := true
-	g.loop.Ask(ctx, func(_ *balance.State, now time.Time) {
+	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
 		wait := settleTime
 		ignorant := g.catalog.Table() == nil || g.catalog.Revision() == 0
 		if ignorant {
@@ -123,7 +123,7 @@
 // that nothing depends on this one.
 func (g *Gateway) OthersWatch(ctx context.Context) bool {
 	watch := false
-	g.loop.Ask(ctx, func(_ *balance.State, now time.Time) {
+	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
 		for r := range g.running(now) {
 			watch = watch || r.ID != g.known.ID && !r.StoreTrouble
 		}
--- a/internal/ingress/quick_test.go
+++ b/internal/ingress/quick_test.go
@@ -98,7 +98,7 @@
 			})
 		}
 	})
-	for loop.Crowded("loud", throttle.RequestSize{}) == "" {
+	for loop.Check("loud", throttle.RequestSize{}) == "" {
 		time.Sleep(time.Millisecond)
 	}
 	f := forward.New(dialect, unreachable{}, loop, trusting{}, logr.Discard(), ended{})
