--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,9 +1,13 @@
-// Package catalog holds a router's copy of what the store says: the
-// configuration, the list of targets and that of drained availability zones, each as of a
-// revision of the store.
-// It takes them from the store and from other routers, whichever is newer,
-// and never goes back, nor does it where the store comes back from an older copy: what that
-// holds counts only where its writers have written it since. It is driven by one goroutine.
+// Package catalog holds a router's copy of the store's entries: the configuration, the list of
+// targets and the list of drained availability zones, each as of a revision of the store. It
+// takes them from the store and from other routers, whichever is newer, and never goes back to
+// an older state. This holds also when the store comes back from an older copy, a new era (see
+// package revision): entries of that copy count only once their writers have written them again.
+//
+// An entry that disappears while the store is in trouble has lapsed: its TTL may have run out
+// because its target couldn't reach the store, so the target stays in use for a moment.
+//
+// A Catalog must be used from one goroutine.
 package catalog
 
 import (
@@ -22,112 +26,115 @@
 )
 
 const (
-	// backTime is about how long after the store is back the entries of live
-	// targets are: the platform says two seconds.
-	backTime = 2 * time.Second
-	// drainReserve is what is left, of the time that a leaving target serves, for
-	// a list of targets and a request on their way.
+	// storeRecoveryTime is how long live targets take to write their entries again after
+	// the store is back, as documented by the platform.
+	storeRecoveryTime = 2 * time.Second
+	// drainReserve is the part of a leaving target's drain period that is kept for a list of
+	// targets and a request in flight.
 	drainReserve = 200 * time.Millisecond
 )
 
-// Codec decodes what the store holds. Target returns an *EntryError for an entry that
-// names no target to use.
+// Codec decodes the store's entries. Target returns an *EntryError for an entry that doesn't
+// describe a usable target.
 type Codec interface {
 	Table(value []byte) (*routing.Table, error)
 	Target(name string, value []byte) (balance.Target, error)
 }
 
-// entry is a target's entry.
+// entry is the state of a target's entry in the store.
 type entry struct {
 	target balance.Target
-	// bad is set where the entry names no target to use.
-	bad bool
-	// born is that of the newest incarnation that the entry told of.
+	// invalid is set if the entry doesn't describe a usable target.
+	invalid bool
+	// born is the start time of the newest known incarnation, in Unix milliseconds.
 	born int64
-	// lapsed is when the entry went while the store was in trouble; zero for
-	// one that is there. until is until when it may come back.
-	lapsed, until time.Time
-	// coldUntil is until when the entry says that the target is cold.
+	// lapsedAt is when the entry disappeared while the store was in trouble, zero while the
+	// store holds it. A lapsedAt entry is dropped at lapsedUntil.
+	lapsedAt, lapsedUntil time.Time
+	// coldUntil is when the target stops being cold.
 	coldUntil time.Time
-	// doubtUntil is until when the entry may be one that its target has left since; zero
-	// for one that is not in doubt.
-	doubtUntil time.Time
+	// unconfirmedUntil is set on an entry that reappeared although its target had left: the
+	// target may really be gone. If the entry is still there at this time, its target writes
+	// it. Zero for other entries.
+	unconfirmedUntil time.Time
 }
 
-// Catalog is one router's copy. Use New to make one.
+// Catalog is one router's copy of the store's entries. Use New to make one.
 type Catalog struct {
 	codec Codec
-	// lapse is for how long after the store's trouble a target is still used
-	// whose entry went meanwhile.
-	lapse time.Duration
-	// silence is after how long the store takes out the entry of a target that writes no
-	// more.
-	silence        time.Duration
+	// maxLapse is how long after the last trouble with the store a target with a lapsed entry
+	// is still used.
+	maxLapse time.Duration
+	// entryTTL is the time after which the store removes the entry of a target that has stopped
+	// writing it.
+	entryTTL       time.Duration
 	configRevision int64
 	config         []byte
 	table          *routing.Table
 	targets        replica
 	zones          replica
-	// entries are the targets listed or lapsed.
+	// entries holds the targets that are listed or lapsed, by name.
 	entries map[string]*entry
-	// unstableUntil is until when entries that go count as lapsed.
+	// unstableUntil is the end of the unstable period, in which entries that disappear count as
+	// lapsed.
 	unstableUntil time.Time
-	// left has the last entries of targets that have left.
-	left map[string]Version
-	// zonesHeld has until when zones count as drained whose objects went while the store
-	// was in trouble.
-	zonesHeld map[string]time.Time
-	// ignored has entries that name no target to use, for Ignored, and ignoredBy
-	// their number by field.
-	ignored   []Ignored
-	ignoredBy map[string]int
+	// departed holds the last versions of the entries of targets that have departed, by name.
+	departed map[string]Version
+	// retainedZones holds the zones whose objects disappeared while the store was in trouble.
+	// They count as drained until the time given.
+	retainedZones map[string]time.Time
+	// ignored holds entries that don't describe a usable target, for Ignored, and
+	// ignoredByField their number by field.
+	ignored        []Ignored
+	ignoredByField map[string]int
 }
 
-// New returns an empty catalog. A target that leaves serves on for drain: those
-// whose entries went while the store was in trouble are used for less. The store takes out
-// the entry of a target that writes no more after silence.
-func New(codec Codec, drain, silence time.Duration) *Catalog {
+// New returns an empty catalog. A leaving target serves for at least drain, so a target with a
+// lapsed entry is used for less than that. The store removes an entry that its target hasn't
+// written for entryTTL.
+func New(codec Codec, drain, entryTTL time.Duration) *Catalog {
 	c := &Catalog{
-		codec: codec, lapse: max(min(backTime, drain-drainReserve), 0), silence: silence,
-		targets: newReplica(), zones: newReplica(), entries: map[string]*entry{}, ignoredBy: map[string]int{},
-		left: map[string]Version{}, zonesHeld: map[string]time.Time{},
+		codec: codec, maxLapse: max(min(storeRecoveryTime, drain-drainReserve), 0), entryTTL: entryTTL,
+		targets: newReplica(), zones: newReplica(), entries: map[string]*entry{}, ignoredByField: map[string]int{},
+		departed: map[string]Version{}, retainedZones: map[string]time.Time{},
 	}
 	c.targets.outdated = c.outdated
 	return c
 }
 
-// Table returns the configuration in force, nil before the first.
+// Table returns the configuration in force, nil before the first one has arrived.
 func (c *Catalog) Table() *routing.Table { return c.table }
 
 // ConfigRevision returns the store's revision of the configuration in force.
 func (c *Catalog) ConfigRevision() int64 { return c.configRevision }
 
-// Revision returns the store's revision as of which the targets are known.
+// TargetsRevision returns the store's revision as of which the list of targets is complete.
 func (c *Catalog) Revision() int64 { return c.targets.revision }
 
-// Changed returns the store's revision of the newest known change to the
-// targets. Who knows the targets as of it, or later, lacks nothing known here.
+// TargetsChanged returns the store's revision of the newest known change to the targets. A
+// router whose list is complete as of this revision or a later one lacks none of the changes
+// known here.
 func (c *Catalog) Changed() int64 { return c.targets.changed }
 
-// Newest returns the revisions of what was last changed. Who knows all as of them, or later,
-// lacks nothing known here.
+// Newest returns the revisions of the newest known changes. A router whose data is complete as
+// of these revisions or later ones lacks none of the changes known here.
 func (c *Catalog) Newest() message.Revisions {
 	return message.Revisions{Config: c.configRevision, Version: c.version(), Targets: c.targets.changed, Zones: c.zones.changed}
 }
 
-// Complete returns the revisions as of which all is known.
+// Complete returns the revisions as of which the data is complete.
 func (c *Catalog) Complete() message.Revisions {
 	return message.Revisions{Config: c.configRevision, Version: c.version(), Targets: c.targets.revision, Zones: c.zones.revision}
 }
 
-// Unstable notes that the store is in trouble: entries that go until a moment
-// from now may belong to targets that are well.
-func (c *Catalog) Unstable(now time.Time) { c.unstableUntil = now.Add(c.lapse) }
+// MarkUnstable notes that the store is in trouble: entries that disappear within maxLapse from
+// now may belong to healthy targets.
+func (c *Catalog) Unstable(now time.Time) { c.unstableUntil = now.Add(c.maxLapse) }
 
-// unstable returns for how much longer that holds.
-func (c *Catalog) unstable(now time.Time) time.Duration { return max(c.unstableUntil.Sub(now), 0) }
+// unstableFor returns the rest of the unstableFor period, 0 if there is none.
+func (c *Catalog) unstableFor(now time.Time) time.Duration { return max(c.unstableUntil.Sub(now), 0) }
 
-// version returns the version that the configuration in force names, 0 if it names none.
+// version returns the operators' version number in the configuration in force, 0 if it has none.
 func (c *Catalog) version() int64 {
 	if c.table == nil {
 		return 0
@@ -135,9 +142,8 @@
 	return c.table.Version()
 }
 
-// SetConfig takes over a configuration. It returns false if it is no newer
-// than the one in force. One that cannot be decoded leaves the last good one
-// in force.
+// SetConfig puts a configuration in force and returns true, or returns false if it is no newer
+// than the one in force. If it can't be decoded, the one in force stays.
 func (c *Catalog) SetConfig(revision int64, value []byte) (bool, error) {
 	if c.table != nil && bytes.Equal(value, c.config) {
 		c.configRevision = max(c.configRevision, revision)
@@ -147,8 +153,8 @@
 	if err != nil {
 		return false, errors.Wrapf(err, "configuration of revision %d", revision)
 	}
-	said := message.Revisions{Config: revision, Version: t.Version()}
-	if !said.ConfigNewer(c.Newest()) {
+	revisions := message.Revisions{Config: revision, Version: t.Version()}
+	if !revisions.ConfigNewer(c.Newest()) {
 		return false, nil
 	}
 	invariant.Check(t.Version() == 0 || t.Version() >= c.version(), invariant.NeverReverts)
@@ -156,80 +162,82 @@
 	return true, nil
 }
 
-// Differs reports whether a configuration is another than the one in force.
+// ConfigDiffers reports whether a configuration differs from the one in force.
 func (c *Catalog) Differs(config []byte) bool {
 	return c.table != nil && !bytes.Equal(config, c.config)
 }
 
-// SetTargets takes over the store's whole list of targets as of a revision. It
-// returns false if the list is older than what is known. Entries that name no target
-// to use are told by Ignored.
+// SetTargets replaces the list of targets with the store's complete list as of a revision. It
+// returns false if the list is older than the known one. Ignored returns the entries that don't
+// describe a usable target.
 func (c *Catalog) SetTargets(now time.Time, revision int64, list []message.StoredObject) bool {
-	c.targets.first(revision)
+	c.targets.noteStoreList(revision)
 	before := c.targets.revision
 	changes, newer := c.targets.replace(revision, list)
-	c.doubtAgain(now, before)
-	c.change(now, changes)
+	c.restartUnconfirmed(now, before)
+	c.updateEntries(now, changes)
 	return newer
 }
 
-// Apply takes over changes to the list, complete up to revision.
+// ApplyTargets applies changes to the list of targets, which are complete up to revision.
 func (c *Catalog) Apply(now time.Time, revision int64, changes []Change) {
-	c.change(now, c.targets.apply(revision, changes))
+	c.updateEntries(now, c.targets.apply(revision, changes))
 }
 
-// change keeps the entries up with changes. An entry that names no target to use replaces a
-// good one: the target that this one named may be gone, and its address somebody else's.
-func (c *Catalog) change(now time.Time, changes []Change) {
+// updateEntries applies changes to the entries. An invalid entry replaces a valid one: the
+// earlier target may be gone, and its address may belong to another process.
+func (c *Catalog) updateEntries(now time.Time, changes []Change) {
 	for _, ch := range changes {
 		if ch.Gone {
 			c.remove(now, ch.Name)
 			continue
 		}
-		if e := c.judge(now, c.entries[ch.Name], ch.StoredObject); e != nil {
+		if e := c.newEntry(now, c.entries[ch.Name], ch.StoredObject); e != nil {
 			c.entries[ch.Name] = e
 		}
 	}
 }
 
-// judge returns the entry that t makes of the one known before, nil if there is none.
-func (c *Catalog) judge(now time.Time, old *entry, t message.StoredObject) *entry {
-	known := c.left[t.Name]
+// newEntry returns the entry for an object of the store that replaces old, which is nil if
+// there is none. It returns old if the object is about an older incarnation.
+func (c *Catalog) newEntry(now time.Time, old *entry, t message.StoredObject) *entry {
+	known := c.departed[t.Name]
 	if old != nil {
 		known = Version{Born: old.born}
 	}
 	e := &entry{born: known.Born}
 	var err error
 	e.target, err = c.codec.Target(t.Name, t.Value)
-	said := Version{Born: e.target.Born, Writes: e.target.Writes, Revision: t.Revision}
+	version := Version{Born: e.target.Born, Writes: e.target.Writes, Revision: t.Revision}
 	switch {
 	case err != nil:
-		e.bad = true
+		e.invalid = true
 		c.ignore(t.Name, t.Revision, err)
 		return e
-	case known.Newer(Version{Born: said.Born, Revision: said.Revision}):
-		// A write of the process before was done late. Other routers are told of it
-		// as it stands, and judge it by what they know.
-		c.ignore(t.Name, t.Revision, NewEntryError(FieldBorn, strconv.FormatInt(said.Born, 10)))
+	case known.Newer(Version{Born: version.Born, Revision: version.Revision}):
+		// A late write of an earlier process. The replica still holds it and forwards it
+		// unchanged; other routers decide by what they know.
+		c.ignore(t.Name, t.Revision, NewEntryError(FieldBorn, strconv.FormatInt(version.Born, 10)))
 		return old
 	default:
-		e.born = said.Born
+		e.born = version.Born
 		if e.target.ColdLeft > 0 {
-			// It was written some time ago: the target is warm sooner than that.
+			// Errs on the late side, since the entry was written some time ago.
 			e.coldUntil = now.Add(e.target.ColdLeft)
 		}
-		if old == nil && !said.WrittenAfter(known) {
-			// It left, and nothing says that it is back. If it does not write, its entry goes.
-			e.doubtUntil = now.Add(c.silence)
+		if old == nil && !version.WrittenAfter(known) {
+			// The target had left, and this is not a later write, so it may not be back. If it
+			// doesn't write the entry, the store removes it within entryTTL.
+			e.unconfirmedUntil = now.Add(c.entryTTL)
 		}
-		delete(c.left, t.Name)
+		delete(c.departed, t.Name)
 		c.checkService(t, e.target.Service)
 	}
 	return e
 }
 
-// checkService tells of a target whose service the configuration does not name. No
-// request gets there; a later configuration may name it.
+// checkService reports a target whose service is not in the configuration to Ignored. The
+// target gets no requests until a later configuration names the service.
 func (c *Catalog) checkService(t message.StoredObject, service string) {
 	if c.table == nil {
 		return
@@ -239,33 +247,35 @@
 	}
 }
 
-// remove takes out an entry that went.
+// remove handles the removal of an entry from the store: the entry lapses in the unstable
+// period, and else is dropped.
 func (c *Catalog) remove(now time.Time, name string) {
 	e := c.entries[name]
-	if e == nil || !e.lapsed.IsZero() {
+	if e == nil || !e.lapsedAt.IsZero() {
 		return
 	}
-	if now.Before(c.unstableUntil) && !e.target.Leaving && !e.bad && e.doubtUntil.IsZero() {
-		// Not for a time from now on: what goes late in that time has probably
-		// left, and was served up to 1.85 s more.
-		e.lapsed, e.until = now, c.unstableUntil
+	if now.Before(c.unstableUntil) && !e.target.Leaving && !e.invalid && e.unconfirmedUntil.IsZero() {
+		// The entry lapses until the end of the unstable period, and not for maxLapse from now:
+		// a target whose entry disappears late in the period has probably left, and was sent
+		// requests for up to 1.85 s more.
+		e.lapsedAt, e.lapsedUntil = now, c.unstableUntil
 		return
 	}
-	c.forget(name, e)
+	c.drop(name, e)
 }
 
-// Expire forgets lapsed entries that have not come back and returns their names.
-// Where most entries have lapsed, the store was away, and all are used until it has
-// been back for a while; where few have, new trouble of this router's own with the
-// store does not keep targets in use that left.
+// ExpireLapsed drops the lapsed entries whose time is over and returns their names, sorted. If
+// most entries have lapsed, the store was unavailable, and all are kept until the unstable period
+// ends. Otherwise an entry's own deadline counts, so that further trouble between this router
+// and the store doesn't keep targets in use that have left.
 func (c *Catalog) Expire(now time.Time) []string {
 	if c.mostLapsed() && now.Before(c.unstableUntil) {
 		return nil
 	}
 	var expired []string
 	for name, e := range c.entries {
-		if !e.lapsed.IsZero() && !now.Before(e.until) {
-			c.forget(name, e)
+		if !e.lapsedAt.IsZero() && !now.Before(e.lapsedUntil) {
+			c.drop(name, e)
 			expired = append(expired, name)
 		}
 	}
@@ -279,25 +289,25 @@
 func (c *Catalog) Lapsed() int {
 	lapsed := 0
 	for _, e := range c.entries {
-		if !e.lapsed.IsZero() {
+		if !e.lapsedAt.IsZero() {
 			lapsed++
 		}
 	}
 	return lapsed
 }
 
-// Targets returns the targets that are listed or lapsed, by id.
+// Targets returns the targets that are listed or lapsed, sorted by id.
 func (c *Catalog) Targets() []balance.Target {
 	list := make([]balance.Target, 0, len(c.entries))
-	// Where most have lapsed, new trouble may make the time longer.
+	// If most have lapsed, further trouble may extend their time.
 	fixed := !c.mostLapsed()
 	for _, e := range c.entries {
-		if e.bad {
+		if e.invalid {
 			continue
 		}
 		t := c.target(e)
 		if fixed {
-			t.Until = e.until
+			t.Until = e.lapsedUntil
 		}
 		list = append(list, t)
 	}
@@ -305,48 +315,48 @@
 	return list
 }
 
-// Target returns the target with an id, or false if none is listed or lapsed.
+// Target returns the target with an id, or false if no such target is listed or lapsed.
 func (c *Catalog) Target(id string) (balance.Target, bool) {
 	e := c.entries[id]
-	if e == nil || e.bad {
+	if e == nil || e.invalid {
 		return balance.Target{}, false
 	}
 	return c.target(e), true
 }
 
-// target returns the target that an entry names, as it is now.
+// target returns the target that an entry describes in its current state.
 func (c *Catalog) target(e *entry) balance.Target {
 	t := e.target
-	t.Lapsed = e.lapsed
+	t.Lapsed = e.lapsedAt
 	t.ColdUntil = e.coldUntil
-	t.Drained = c.drained(t.Zone)
-	t.Leaving = t.Leaving || !e.doubtUntil.IsZero()
+	t.Drained = c.zoneDrained(t.Zone)
+	t.Leaving = t.Leaving || !e.unconfirmedUntil.IsZero()
 	return t
 }
 
-// Copy returns what is newer than a router that is behind has.
+// Copy returns what a router lacks that has the revisions in need.
 func (c *Catalog) Copy(now time.Time, need message.NeedCopy) message.Copy {
 	out := message.Copy{Targets: c.targets.since(need.Targets), Zones: c.zones.since(need.Zones)}
 	if c.table != nil && c.Newest().ConfigNewer(message.Revisions(need)) {
 		out.ConfigRevision, out.Config = c.configRevision, c.config
 	}
 	if out.Targets.Revision > 0 || out.Zones.Revision > 0 {
-		out.Unstable = c.unstable(now)
+		out.Unstable = c.unstableFor(now)
 	}
 	return out
 }
 
-// Take takes over another router's copy of the targets and drained zones. It returns false
-// if that changed nothing.
+// Merge merges another router's copy of the targets and drained zones. It returns false if that
+// brought nothing new.
 func (c *Catalog) Take(now time.Time, m message.Copy) bool {
-	if (c.targets.lacks(m.Targets) || c.zones.lacks(m.Zones)) && m.Unstable > c.unstable(now) {
+	if (c.targets.accepts(m.Targets) || c.zones.accepts(m.Zones)) && m.Unstable > c.unstableFor(now) {
 		c.unstableUntil = now.Add(m.Unstable)
 	}
-	drained, _ := c.zones.take(m.Zones)
-	c.hold(now, drained)
+	drained, _ := c.zones.merge(m.Zones)
+	c.retain(now, drained)
 	before := c.targets.revision
-	changes, newer := c.targets.take(m.Targets)
-	c.doubtAgain(now, before)
-	c.change(now, changes)
+	changes, newer := c.targets.merge(m.Targets)
+	c.restartUnconfirmed(now, before)
+	c.updateEntries(now, changes)
 	return newer || len(drained) > 0
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -17,13 +17,15 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// drainTime is for how long a target serves on that leaves.
-const drainTime = 2 * time.Second
+// drainPeriod is how long a leaving target continues to serve.
+const drainPeriod = 2 * time.Second
 
-// silenceTime is after how long the store takes out the entry of a target that writes no more.
-const silenceTime = 4 * time.Second
+// entryTTL is the time after which the store removes the entry of a target that has stopped
+// writing it.
+const entryTTL = 4 * time.Second
 
-// codec reads a table's version, and a target whose value is its address.
+// codec decodes a configuration that is only a version number, and a target whose value is its
+// address.
 type codec struct{}
 
 func (codec) Table(value []byte) (*routing.Table, error) {
@@ -34,7 +36,7 @@
 	return routing.New(routing.Spec{Version: v, Services: []routing.Service{{Name: "s"}}})
 }
 
-// noneIgnored checks that all entries named targets to use.
+// noneIgnored checks that all entries described usable targets.
 func noneIgnored(t interface{ Fatalf(string, ...any) }, c *catalog.Catalog) {
 	if list, _ := c.Ignored(); len(list) > 0 {
 		t.Fatalf("ignored: %v", list)
@@ -45,12 +47,12 @@
 	return balance.Target{ID: name, Service: "s", Address: string(value)}, nil
 }
 
-// history is a store: the naive account of what each revision held.
+// history is a simple model of a store that keeps all its changes, one per revision.
 type history struct {
 	events []catalog.Change
 }
 
-// at returns the targets as of a revision, by name.
+// at returns the objects of the targets as of a revision, by name.
 func (h *history) at(revision int64) map[string]message.StoredObject {
 	out := map[string]message.StoredObject{}
 	for _, e := range h.events {
@@ -70,15 +72,15 @@
 	return slices.Collect(maps.Values(h.at(revision)))
 }
 
-// TestCopies feeds two routers' catalogs from a store, late, in parts, twice,
-// and from one another, and compares what they hold with what the store held
-// at the revision that they name.
+// TestCopies updates the catalogs of two routers from a store, with delayed, partial and repeated
+// lists and changes, and from each other. It compares their targets with those of the store as of
+// the revision that the catalog returns.
 func TestCopies(t *testing.T) {
 	invariant.Strict()
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		h := &history{}
-		pair := []*catalog.Catalog{catalog.New(codec{}, drainTime, silenceTime), catalog.New(codec{}, drainTime, silenceTime)}
+		pair := []*catalog.Catalog{catalog.New(codec{}, drainPeriod, entryTTL), catalog.New(codec{}, drainPeriod, entryTTL)}
 		which := func() *catalog.Catalog { return pair[rapid.IntRange(0, 1).Draw(t, "router")] }
 		revision := func() int64 { return int64(rapid.IntRange(0, len(h.events)).Draw(t, "revision")) }
 		configs := map[*catalog.Catalog]int64{}
@@ -149,7 +151,7 @@
 
 func TestLapse(t *testing.T) {
 	now := time.Now()
-	c := catalog.New(codec{}, drainTime, silenceTime)
+	c := catalog.New(codec{}, drainPeriod, entryTTL)
 	entry := []message.StoredObject{{Name: "a", Revision: 1, Value: []byte("x")}}
 	c.SetTargets(now, 1, entry)
 	noneIgnored(t, c)
@@ -169,12 +171,12 @@
 	}
 }
 
-// TestLapseIsPassedOn has two routers copy from one another while one of them
-// has seen the store in trouble: both keep a lapsed entry as long as that one
-// alone would, however often they copy.
+// TestLapseIsPassedOn checks that two routers that copy from each other, one of which has seen
+// trouble with the store, keep a lapsed entry as long as that one would alone, however often they
+// copy.
 func TestLapseIsPassedOn(t *testing.T) {
 	now := time.Now()
-	a, b := catalog.New(codec{}, drainTime, silenceTime), catalog.New(codec{}, drainTime, silenceTime)
+	a, b := catalog.New(codec{}, drainPeriod, entryTTL), catalog.New(codec{}, drainPeriod, entryTTL)
 	target := func(name string, revision int64) message.StoredObject {
 		return message.StoredObject{Name: name, Revision: revision, Value: []byte("x")}
 	}
@@ -211,8 +213,8 @@
 	}
 }
 
-// TestLapseUnderNewTrouble has a router meet trouble with the store again and
-// again after entries have gone.
+// TestLapseUnderNewTrouble checks how long lapsed entries are used while a router repeatedly has
+// trouble with the store after they disappeared.
 func TestLapseUnderNewTrouble(t *testing.T) {
 	cases := map[string]struct {
 		left int // of four entries
@@ -224,7 +226,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
-			k := catalog.New(codec{}, drainTime, silenceTime)
+			k := catalog.New(codec{}, drainPeriod, entryTTL)
 			var list []message.StoredObject
 			for i := range 4 {
 				list = append(list, message.StoredObject{Name: strconv.Itoa(i), Revision: 1, Value: []byte("x")})
@@ -246,15 +248,15 @@
 	}
 }
 
-// TestGoneBeforeTheFirstList plays routers of which one starts after a target's
-// entry went: its list cannot say so, and the others must still hear of it.
+// TestGoneBeforeTheFirstList checks that routers learn of the removal of an entry from a router that
+// has started after it, although the first list of that router doesn't contain the removal.
 func TestGoneBeforeTheFirstList(t *testing.T) {
 	now := time.Now()
 	kept, gone := stored("kept", 1), stored("gone", 2)
-	old, fresh := catalog.New(codec{}, drainTime, silenceTime), catalog.New(codec{}, drainTime, silenceTime)
+	old, fresh := catalog.New(codec{}, drainPeriod, entryTTL), catalog.New(codec{}, drainPeriod, entryTTL)
 	old.SetTargets(now, 2, []message.StoredObject{kept, gone})
 	noneIgnored(t, old)
-	// The entry went with revision 3.
+	// Revision 3 removed the entry.
 	fresh.SetTargets(now, 3, []message.StoredObject{kept})
 	noneIgnored(t, fresh)
 	if fresh.Changed() <= old.Revision() {
@@ -265,11 +267,11 @@
 	if n := len(old.Targets()); n != 1 {
 		t.Errorf("%d targets, want the one that is left", n)
 	}
-	// Who has it from another router makes nobody ask for it again.
-	third := catalog.New(codec{}, drainTime, silenceTime)
+	// A router with the list of another router doesn't make others request it again.
+	third := catalog.New(codec{}, drainPeriod, entryTTL)
 	third.SetTargets(now, 4, []message.StoredObject{kept})
 	noneIgnored(t, third)
-	last := catalog.New(codec{}, drainTime, silenceTime)
+	last := catalog.New(codec{}, drainPeriod, entryTTL)
 	last.Take(now, old.Copy(now, message.NeedCopy{}))
 	noneIgnored(t, last)
 	if last.Changed() > third.Revision() {
@@ -281,8 +283,8 @@
 	return message.StoredObject{Name: name, Revision: revision, Value: []byte("address")}
 }
 
-// TestLapseFollowsDrain has entries go in the store's trouble where targets that
-// leave serve on for different times.
+// TestLapseFollowsDrain checks how long lapsed entries are used for different drain periods of
+// leaving targets.
 func TestLapseFollowsDrain(t *testing.T) {
 	cases := map[string]struct{ drain, lapse time.Duration }{
 		"short":       {drain: time.Second, lapse: 800 * time.Millisecond},
@@ -294,7 +296,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
-			k := catalog.New(codec{}, c.drain, silenceTime)
+			k := catalog.New(codec{}, c.drain, entryTTL)
 			k.SetTargets(now, 1, []message.StoredObject{stored("a", 1)})
 			noneIgnored(t, k)
 			k.Unstable(now)
@@ -313,11 +315,11 @@
 	}
 }
 
-// TestLapseEndsWhenEntriesAreBack has an entry go late in the time in which entries
-// may lapse: it is not used for as long again.
+// TestLapseEndsWhenEntriesAreBack checks that an entry that disappears late in the unstable period
+// is used only until the end of this period.
 func TestLapseEndsWhenEntriesAreBack(t *testing.T) {
 	now := time.Now()
-	c := catalog.New(codec{}, drainTime, silenceTime)
+	c := catalog.New(codec{}, drainPeriod, entryTTL)
 	c.SetTargets(now, 2, []message.StoredObject{stored("stays", 1), stored("goes", 2)})
 	noneIgnored(t, c)
 	c.Unstable(now)
--- a/internal/catalog/ignored.go
+++ b/internal/catalog/ignored.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// ignoredMost bounds the entries remembered as ignored between two calls of
-	// Ignored: a list may hold hundreds of them.
-	ignoredMost = 16
-	// foundMost bounds what is kept of what an entry holds, in bytes.
-	foundMost = 80
+	// maxIgnored bounds the ignored entries kept between two calls of Ignored. A single list may
+	// hold hundreds.
+	maxIgnored = 16
+	// maxFoundBytes is the length to which names and contents of ignored entries are cut.
+	maxFoundBytes = 80
 )
 
-// Fields that are not an entry's own.
+// Values of EntryError.Field that the catalog itself uses.
 const (
-	// FieldBytes stands for an entry that cannot be read at all, FieldName for its
+	// FieldBytes stands for an entry that can't be decoded at all, FieldName for the entry's
 	// name.
 	FieldBytes = "bytes"
 	FieldName  = "name"
-	// FieldBorn is when the target started: an entry of an older incarnation came late.
+	// FieldBorn is the target's start time: the entry is a late one of an older incarnation.
 	FieldBorn = "born"
-	// FieldService is the service that the target belongs to.
+	// FieldService is the service of the target, which the configuration doesn't name.
 	FieldService = "service"
 )
 
-// EntryError says which field of an entry names no target to use.
+// EntryError says which field makes an entry unusable.
 type EntryError struct {
 	Field string
-	// Found is what the field holds, cut to a bound; empty if it is missing.
+	// Found is the content of the field, truncated. It is empty if the field is missing.
 	Found string
 }
 
-// NewEntryError returns an error for a field that holds found.
+// NewEntryError returns an error for a field with the content found.
 func NewEntryError(field, found string) *EntryError {
-	return &EntryError{Field: field, Found: found[:min(len(found), foundMost)]}
+	return &EntryError{Field: field, Found: found[:min(len(found), maxFoundBytes)]}
 }
 
 // Error implements error.
@@ -46,30 +46,30 @@
 	return fmt.Sprintf("%s cannot be used: %q", e.Field, e.Found)
 }
 
-// Ignored is an entry that came and names no target to use.
+// Ignored is an entry that was received and found unusable.
 type Ignored struct {
 	Name     string
 	Revision int64
 	EntryError
 }
 
-// ignore notes an entry that names no target to use. Only a change gets here, not
-// every answer that holds the entry.
+// ignore records an unusable entry. It is called when an entry changes, not each time that the
+// entry is received.
 func (c *Catalog) ignore(name string, revision int64, err error) {
 	entry := &EntryError{}
 	if !errors.As(err, &entry) {
 		entry = NewEntryError(FieldBytes, err.Error())
 	}
-	if len(c.ignored) < ignoredMost {
-		c.ignored = append(c.ignored, Ignored{Name: name[:min(len(name), foundMost)], Revision: revision, EntryError: *entry})
+	if len(c.ignored) < maxIgnored {
+		c.ignored = append(c.ignored, Ignored{Name: name[:min(len(name), maxFoundBytes)], Revision: revision, EntryError: *entry})
 	}
-	c.ignoredBy[entry.Field]++
+	c.ignoredByField[entry.Field]++
 }
 
-// Ignored returns the entries that turned out to name no target to use since the
-// last call, the first few of them, and how many there were by field.
+// Ignored returns the first maxIgnored entries found unusable since the last call, and the number
+// of all such entries by field.
 func (c *Catalog) Ignored() ([]Ignored, map[string]int) {
-	list, by := c.ignored, c.ignoredBy
-	c.ignored, c.ignoredBy = nil, map[string]int{}
+	list, by := c.ignored, c.ignoredByField
+	c.ignored, c.ignoredByField = nil, map[string]int{}
 	return list, by
 }
--- a/internal/catalog/incarnation_test.go
+++ b/internal/catalog/incarnation_test.go
@@ -24,7 +24,7 @@
 	// Output: true true false
 }
 
-// bornCodec reads a target whose value is when it started, and nothing else.
+// bornCodec decodes a target whose value is its start time.
 type bornCodec struct{}
 
 func (bornCodec) Table([]byte) (*routing.Table, error) { return routing.New(routing.Spec{Version: 1}) }
@@ -37,12 +37,12 @@
 	return balance.Target{ID: name, Service: "s", Born: born}, nil
 }
 
-// entryOf returns an entry as of a revision whose target started at a time.
+// entryOf returns an entry, as of a revision, of a target that started at the time born.
 func entryOf(name string, revision int64, born string) message.StoredObject {
 	return message.StoredObject{Name: name, Revision: revision, Value: []byte(born)}
 }
 
-// inUse returns the targets that a catalog would have used, as "name@born".
+// inUse returns the targets of a catalog as "name@born", separated by spaces.
 func inUse(c *catalog.Catalog) string {
 	var out []string
 	for _, t := range c.Targets() {
@@ -80,7 +80,7 @@
 			},
 		} {
 			t.Run(name+" "+way, func(t *testing.T) {
-				k := catalog.New(bornCodec{}, drainTime, silenceTime)
+				k := catalog.New(bornCodec{}, drainPeriod, entryTTL)
 				k.SetTargets(time.Time{}, 1, []message.StoredObject{entryOf("b", 1, "7")})
 				for i, born := range c.entries {
 					put(k, int64(i+2), entryOf("a", int64(i+2), born))
@@ -102,7 +102,7 @@
 }
 
 func TestBadEntryIsToldOnce(t *testing.T) {
-	k := catalog.New(bornCodec{}, drainTime, silenceTime)
+	k := catalog.New(bornCodec{}, drainPeriod, entryTTL)
 	bad := entryOf("a", 1, "?")
 	for revision := range int64(5) {
 		k.SetTargets(time.Time{}, revision+1, []message.StoredObject{bad})
@@ -113,7 +113,7 @@
 }
 
 func TestBadEntryDoesNotLapse(t *testing.T) {
-	k := catalog.New(bornCodec{}, drainTime, silenceTime)
+	k := catalog.New(bornCodec{}, drainPeriod, entryTTL)
 	now := time.Unix(1000, 0)
 	k.SetTargets(now, 1, []message.StoredObject{entryOf("a", 1, "1"), entryOf("b", 1, "1")})
 	k.Apply(now, 2, []catalog.Change{{StoredObject: entryOf("a", 2, "?")}})
@@ -124,7 +124,7 @@
 	}
 }
 
-// newestOf returns the newest incarnation of a target that events tell of.
+// newestOf returns the newest incarnation of a target in events.
 func newestOf(events []catalog.Change, name string) int64 {
 	newest := int64(0)
 	for _, e := range events {
@@ -136,9 +136,9 @@
 	return newest
 }
 
-// TestIncarnationsAgree plays a store whose entries start again, are spoilt and written
-// late by processes that are gone, and routers that hear of it from the store and from
-// one another in any order.
+// TestIncarnationsAgree checks that no router goes back to an older incarnation of a target. Targets
+// restart, entries become unusable and are written late by processes that have ended, and the
+// routers receive all this from the store and from each other in any order.
 func TestIncarnationsAgree(t *testing.T) {
 	const routers = 3
 	names := []string{"a", "b"}
@@ -148,7 +148,7 @@
 		known := make([]*catalog.Catalog, routers)
 		newest := make([]map[string]int64, routers)
 		for i := range known {
-			known[i] = catalog.New(bornCodec{}, drainTime, silenceTime)
+			known[i] = catalog.New(bornCodec{}, drainPeriod, entryTTL)
 			newest[i] = map[string]int64{}
 		}
 		held := func(revision int64) map[string]catalog.Change {
@@ -161,7 +161,7 @@
 		router := rapid.IntRange(0, routers-1)
 		seen := make([]int64, routers)
 		check := func(i int) {
-			// An entry that went leaves nothing to compare with.
+			// After the removal of an entry any incarnation may follow.
 			for _, e := range events[min(seen[i], known[i].Revision()):known[i].Revision()] {
 				if e.Gone {
 					delete(newest[i], e.Name)
@@ -185,8 +185,8 @@
 					continue
 				}
 				says, _ := strconv.ParseInt(string(e.Value), 10, 64)
-				// A late write of an older incarnation may be all that the store holds, and a
-				// router need not hear that an entry went in between.
+				// The store may hold only a late write of an older incarnation, and a router may
+				// have missed that the entry was removed in between.
 				if !used && says >= newestOf(events[:known[i].Revision()], name) {
 					t.Fatalf("router %d does not use %s@%d", i, name, says)
 				}
@@ -247,12 +247,12 @@
 	})
 }
 
-// A router that knew a later incarnation ignored a late write of an older one, and left
-// it out when it told another router what was new, which then went on with an older one
-// still: "router 1 uses b@1 though 2 is known".
+// Guards against a fault in which a router that knew a later incarnation ignored a late write of an
+// older one, and also left it out of copies for other routers. Such a router then kept using an even
+// older incarnation: "router 1 uses b@1 though 2 is known".
 func TestLateWriteIsPassedOn(t *testing.T) {
 	now := time.Unix(1000, 0)
-	knows, behind := catalog.New(bornCodec{}, drainTime, silenceTime), catalog.New(bornCodec{}, drainTime, silenceTime)
+	knows, behind := catalog.New(bornCodec{}, drainPeriod, entryTTL), catalog.New(bornCodec{}, drainPeriod, entryTTL)
 	knows.Apply(now, 1, []catalog.Change{{StoredObject: entryOf("b", 1, "3")}})
 	behind.Apply(now, 3, []catalog.Change{{StoredObject: entryOf("b", 3, "1")}})
 	knows.Apply(now, 4, []catalog.Change{{StoredObject: entryOf("b", 4, "2")}})
@@ -262,10 +262,11 @@
 	}
 }
 
-// Late writes of processes before were taken for a new one where the entry had gone and a bad one
-// came between: the bad one was remembered as that of no process at all.
+// Guards against a fault in which a late write of an earlier process passed for a new incarnation
+// after the entry had been removed and an unusable one had followed, since the unusable one was
+// remembered without a start time.
 func TestOlderLivesAfterAnEntryWent(t *testing.T) {
-	k := catalog.New(bornCodec{}, drainTime, silenceTime)
+	k := catalog.New(bornCodec{}, drainPeriod, entryTTL)
 	k.SetTargets(time.Time{}, 1, []message.StoredObject{entryOf("a", 1, "3")})
 	k.SetTargets(time.Time{}, 2, nil)
 	for i, born := range []string{"2", "?", "1"} {
--- a/internal/catalog/left.go
+++ b/internal/catalog/left.go
@@ -7,62 +7,62 @@
 	"github.com/stepcroft/stepcroft/internal/revision"
 )
 
-// forget takes out an entry whose target has left, as far as this router knows.
-func (c *Catalog) forget(name string, e *entry) {
+// drop removes an entry and remembers its target as departed.
+func (c *Catalog) drop(name string, e *entry) {
 	delete(c.entries, name)
-	if e.bad {
+	if e.invalid {
 		return
 	}
-	if len(c.left) >= leftMost {
-		clear(c.left)
+	if len(c.departed) >= maxDeparted {
+		clear(c.departed)
 	}
-	c.left[name] = Version{Born: e.target.Born, Writes: e.target.Writes}
+	c.departed[name] = Version{Born: e.target.Born, Writes: e.target.Writes}
 }
 
-// leftMost bounds the targets that are remembered as having left: those of some hours where
-// all of a large fleet's are replaced each day, in about a megabyte.
-const leftMost = 8192
+// maxDeparted bounds the targets that are remembered as departed. It suffices for some hours in
+// a large fleet that replaces all its targets each day, and takes about a megabyte.
+const maxDeparted = 8192
 
-// Settle ends what was held because of trouble with the store, and returns whether that
-// changed anything: entries in doubt that are still there are written by their targets, and
-// zones that count as drained are not if they were not drained again.
+// Settle resolves what was uncertain because of trouble with the store, and reports whether that
+// changed anything: an unconfirmed entry that the store still holds after entryTTL counts as
+// written by its target, and a retained zone that was not drained again is no longer drained.
 func (c *Catalog) Settle(now time.Time) bool {
 	settled := false
 	for _, e := range c.entries {
-		if !e.doubtUntil.IsZero() && !now.Before(e.doubtUntil) {
-			e.doubtUntil = time.Time{}
+		if !e.unconfirmedUntil.IsZero() && !now.Before(e.unconfirmedUntil) {
+			e.unconfirmedUntil = time.Time{}
 			settled = true
 		}
 	}
-	for zone, until := range c.zonesHeld {
+	for zone, until := range c.retainedZones {
 		if !now.Before(until) {
-			delete(c.zonesHeld, zone)
+			delete(c.retainedZones, zone)
 			settled = true
 		}
 	}
 	return settled
 }
 
-// doubtAgain makes entries in doubt stay so for the whole time again where the store came back
-// from a copy since a revision: it takes them out that much later.
-func (c *Catalog) doubtAgain(now time.Time, since int64) {
+// restartUnconfirmed gives unconfirmed entries the full entryTTL again if a new era of the store
+// has begun since a revision: the store itself has then also restarted their TTL.
+func (c *Catalog) restartUnconfirmed(now time.Time, since int64) {
 	if revision.Era(c.targets.revision) <= revision.Era(since) {
 		return
 	}
 	for _, e := range c.entries {
-		if !e.doubtUntil.IsZero() {
-			e.doubtUntil = now.Add(c.silence)
+		if !e.unconfirmedUntil.IsZero() {
+			e.unconfirmedUntil = now.Add(c.entryTTL)
 		}
 	}
 }
 
-// outdated reports whether an object is one that its target has written over since, as a
-// store that came back from a copy holds them.
-func (c *Catalog) outdated(known, said message.StoredObject) bool {
+// outdated reports whether the later received object is an earlier write of the same process
+// than the known one, as in a store that came back from a copy.
+func (c *Catalog) outdated(known, received message.StoredObject) bool {
 	a, err := c.codec.Target(known.Name, known.Value)
 	if err != nil {
 		return false
 	}
-	b, err := c.codec.Target(said.Name, said.Value)
+	b, err := c.codec.Target(received.Name, received.Value)
 	return err == nil && a.Born == b.Born && a.Writes > 0 && b.Writes > 0 && b.Writes < a.Writes
 }
--- a/internal/catalog/left_test.go
+++ b/internal/catalog/left_test.go
@@ -14,7 +14,8 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// countedCodec reads how often a target's process wrote its entry.
+// countedCodec decodes a target whose value is the number of times that its process has written the
+// entry.
 type countedCodec struct{}
 
 func (countedCodec) Table([]byte) (*routing.Table, error) {
@@ -26,11 +27,12 @@
 	return balance.Target{ID: name, Service: "s", Born: 1, Writes: n}, errors.Wrap(err, "target")
 }
 
-// A target that left was used again where the store came back from a copy that lists it, and did
-// so again before it took out the entry: the doubt had begun with the first return.
+// Guards against a fault in which a target that had left was used again: the store came back from a
+// copy that lists the target, and came back from a copy once more before the entry's TTL ran out,
+// but the entry was unconfirmed only for the time counted from the first return.
 func TestLeftTargetWhereTheStoreComesBackTwice(t *testing.T) {
 	now := time.Unix(1000, 0)
-	k := catalog.New(countedCodec{}, drainTime, silenceTime)
+	k := catalog.New(countedCodec{}, drainPeriod, entryTTL)
 	list := func(era, at int64, writes ...string) {
 		n, err := revision.New(era, at)
 		if err != nil {
@@ -50,9 +52,9 @@
 	list(0, 1, "5")
 	list(0, 2)
 	list(1, 1, "5")
-	now = now.Add(silenceTime - time.Second)
+	now = now.Add(entryTTL - time.Second)
 	list(2, 1, "5")
-	now = now.Add(silenceTime - time.Millisecond)
+	now = now.Add(entryTTL - time.Millisecond)
 	if used() {
 		t.Error("used before its entry has outlived that of a target that does not write")
 	}
--- a/internal/catalog/replica.go
+++ b/internal/catalog/replica.go
@@ -6,54 +6,55 @@
 	"github.com/stepcroft/stepcroft/internal/message"
 )
 
-// maxGone bounds the objects of a kind that are remembered as gone. A router that is
-// further behind gets the whole list.
+// maxGone bounds the removed objects of a kind that are remembered. A router that is further
+// behind gets the complete list.
 const maxGone = 512
 
-// Change is one change to a list of the store's objects.
+// Change is a write or, if Gone is set, the removal of one of the store's objects.
 type Change struct {
 	message.StoredObject
 	Gone bool
 }
 
-// replica is a copy of the store's objects of one kind that never goes back. It takes whole
-// lists and changes in any order, from the store and from other routers, and says what a
-// router that is behind lacks. Use newReplica to make one.
+// replica is a copy of the store's objects of one kind that never goes back to an older state. It
+// accepts complete lists and changes in any order, from the store and from other routers, and
+// returns the difference for a router that is behind. Use newReplica to make one.
 type replica struct {
-	// revision is the store's revision as of which the copy is complete, changed that of
-	// the newest known change.
+	// revision is the store's revision as of which the copy is complete, changed the revision
+	// of the newest known change.
 	revision, changed int64
 	objects           map[string]message.StoredObject
-	// gone has the revisions by which objects had gone, complete from revision
-	// goneSince on.
+	// gone maps removed objects to revisions as of which they were gone. It has all removals
+	// after the revision goneSince.
 	gone      map[string]int64
 	goneSince int64
-	// outdated reports whether an object said later is an older writing than the one known;
-	// nil where none is.
-	outdated func(known, said message.StoredObject) bool
+	// outdated reports whether an object received later is an earlier write than the known
+	// one. If nil, none is.
+	outdated func(known, received message.StoredObject) bool
 }
 
 func newReplica() replica {
 	return replica{objects: map[string]message.StoredObject{}, gone: map[string]int64{}}
 }
 
-// first notes that a whole list came from the store. Where it is the first, it does not say
-// what went before it: routers with an older one must ask for this one. Where all that watched
-// were killed as an object went, the others would go on as if it were there.
-func (r *replica) first(revision int64) {
+// noteStoreList must be called before a complete list from the store is stored. The noteStoreList such
+// list doesn't tell which objects were removed before it, so its revision counts as a change, and
+// routers with an older list request this one. Otherwise, if all routers that watch the store
+// were killed when an object was removed, the others would never learn of the removal.
+func (r *replica) noteStoreList(revision int64) {
 	if r.revision == 0 {
 		r.changed = max(r.changed, revision)
 	}
 }
 
-// replace takes over a whole list as of a revision and returns what changed. It returns
-// false if the list is older than what is known.
+// replace replaces the objects by a complete list as of a revision and returns the changes. It
+// returns false if the list is older than the known one.
 func (r *replica) replace(revision int64, list []message.StoredObject) ([]Change, bool) {
 	if revision < r.revision {
 		return nil, false
 	}
 	if revision > r.revision {
-		// Objects may have come and gone meanwhile that were never known here.
+		// Objects may have been added and removed meanwhile that were never known here.
 		clear(r.gone)
 		r.goneSince = revision
 	}
@@ -75,15 +76,14 @@
 	return changes, true
 }
 
-// apply takes over changes to the list, complete up to revision, and returns those that
-// were new.
+// apply applies changes, which are complete up to revision, and returns those that were new.
 func (r *replica) apply(revision int64, changes []Change) []Change {
 	var applied []Change
 	for _, ch := range changes {
 		old, known := r.objects[ch.Name]
 		switch {
 		case !known && ch.Revision <= r.revision:
-			// A change from before the list that lacks it.
+			// The change is older than the list, which no longer has the object.
 			continue
 		case known && ch.Revision < old.Revision:
 			continue
@@ -98,8 +98,9 @@
 	return applied
 }
 
-// put takes over an object and reports whether it says something new. One that a store which
-// came back from a copy says again, or holds an older writing of, is as new as that.
+// put stores an object if its revision is newer and reports whether its content is new. A store
+// that came back from a copy may repeat the known content, or hold an earlier write: then the
+// known content stays and only its revision is raised.
 func (r *replica) put(o message.StoredObject) bool {
 	old, known := r.objects[o.Name]
 	if known && o.Revision <= old.Revision {
@@ -115,7 +116,7 @@
 	return news
 }
 
-// remove takes out an object that had gone by a revision.
+// remove removes an object that was gone as of a revision.
 func (r *replica) remove(name string, revision int64) {
 	delete(r.objects, name)
 	if len(r.gone) >= maxGone {
@@ -126,7 +127,7 @@
 	r.changed = max(r.changed, revision)
 }
 
-// since returns what a router lacks that knows the list as of a revision.
+// since returns what a router lacks whose list is complete as of the revision known.
 func (r *replica) since(known int64) message.StoredObjects {
 	if r.changed <= known {
 		return message.StoredObjects{}
@@ -148,16 +149,16 @@
 	return out
 }
 
-// lacks reports whether what another router said is newer than what is known and follows on
-// it.
-func (r *replica) lacks(m message.StoredObjects) bool {
+// accepts reports whether another router's objects are newer than the known ones, and leave no
+// gap after them.
+func (r *replica) accepts(m message.StoredObjects) bool {
 	return m.Revision > r.revision && m.Since <= r.revision
 }
 
-// take takes over what another router said is missing here, and returns what changed. It
-// returns false if that is not newer, or does not follow on what is known.
-func (r *replica) take(m message.StoredObjects) ([]Change, bool) {
-	if !r.lacks(m) {
+// merge merges another router's objects and returns the changes. It returns false if nothing is
+// new, or if accepts rejects them.
+func (r *replica) merge(m message.StoredObjects) ([]Change, bool) {
+	if !r.accepts(m) {
 		return nil, false
 	}
 	if m.Since == 0 {
--- a/internal/catalog/version.go
+++ b/internal/catalog/version.go
@@ -1,17 +1,18 @@
 package catalog
 
-// Version orders what is said of one target, in whatever order it arrives: an engine
-// that starts again under its id begins a new incarnation, and what is said of an older one
-// is old however late it comes. In one incarnation the store's revision decides.
+// Version orders the entries of one target, in whatever order they arrive: a target that restarts
+// under its id begins a new incarnation, and entries of older incarnations are old however late
+// they arrive. Within one incarnation the store's revision decides.
 //
 // The zero value is older than all others.
 type Version struct {
-	// Born is when the target's process started, in Unix milliseconds; 0 where the
-	// target does not say, which is one incarnation without a number.
+	// Born is when the target's process started, in Unix milliseconds. It is 0 if the target
+	// doesn't report it; all such entries count as one incarnation.
 	Born int64
-	// Writes is how often the process had written its entry; 0 where it does not say.
+	// Writes is the number of times that the process had written its entry, 0 if the target
+	// doesn't report it.
 	Writes int64
-	// Revision is the store's number of the entry's last change.
+	// Revision is the store's revision of the entry's last change.
 	Revision int64
 }
 
@@ -23,9 +24,9 @@
 	return v.Revision > than.Revision
 }
 
-// WrittenAfter reports whether v was written after another version of the same target was:
-// by another process, or by the same one, which counts its writes. Where it does not say how
-// many there were, v counts as written later.
+// WrittenAfter reports whether v was written after another version of the same target, by a later
+// process or by the same one with a higher count of writes. Without a count v is taken to be the
+// later one.
 func (v Version) WrittenAfter(other Version) bool {
 	if v.Born != other.Born {
 		return v.Born > other.Born
--- a/internal/catalog/zones.go
+++ b/internal/catalog/zones.go
@@ -8,42 +8,42 @@
 	"github.com/stepcroft/stepcroft/internal/message"
 )
 
-// SetZones takes over the store's whole list of drained availability zones as of a revision;
-// an object for each, by its name: what else stands in it does not matter. It returns false
-// if that changes nothing.
+// SetZones replaces the list of drained availability zones with the store's complete list as of a
+// revision. An object's name is that of the zone, its content is ignored. It returns false if
+// nothing changed.
 func (c *Catalog) SetZones(now time.Time, revision int64, list []message.StoredObject) bool {
-	c.zones.first(revision)
+	c.zones.noteStoreList(revision)
 	changes, newer := c.zones.replace(revision, list)
-	c.hold(now, changes)
+	c.retain(now, changes)
 	return newer && len(changes) > 0
 }
 
-// hold keeps zones drained for a moment that are missing while the store is in trouble: it may
-// have lost that they were drained, which is then written again.
-func (c *Catalog) hold(now time.Time, changes []Change) {
+// retain keeps zones drained for a moment whose objects disappear in the unstable period: the
+// store may have lost the objects, which are then written again.
+func (c *Catalog) retain(now time.Time, changes []Change) {
 	for _, ch := range changes {
 		if ch.Gone && now.Before(c.unstableUntil) {
-			c.zonesHeld[ch.Name] = c.unstableUntil
+			c.retainedZones[ch.Name] = c.unstableUntil
 		}
 	}
 }
 
-// ApplyZones takes over changes to the list, complete up to revision. It returns false if
-// they change nothing.
+// ApplyZones applies changes to the list of drained zones, which are complete up to revision. It
+// returns false if nothing changed.
 func (c *Catalog) ApplyZones(revision int64, changes []Change) bool {
 	return len(c.zones.apply(revision, changes)) > 0
 }
 
-// Drained returns the availability zones to whose targets nothing is to be sent.
+// DrainedZones returns the drained availability zones, sorted. Their targets get no requests.
 func (c *Catalog) Drained() []string {
-	list := slices.AppendSeq(slices.Collect(maps.Keys(c.zones.objects)), maps.Keys(c.zonesHeld))
+	list := slices.AppendSeq(slices.Collect(maps.Keys(c.zones.objects)), maps.Keys(c.retainedZones))
 	slices.Sort(list)
 	return slices.Compact(list)
 }
 
-// drained reports whether a zone is.
-func (c *Catalog) drained(zone string) bool {
+// zoneDrained reports whether a zone is zoneDrained.
+func (c *Catalog) zoneDrained(zone string) bool {
 	_, listed := c.zones.objects[zone]
-	_, held := c.zonesHeld[zone]
+	_, held := c.retainedZones[zone]
 	return listed || held
 }
