--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,5 @@
-// Package invariant checks at run time what must always hold. A breach is
-// counted, and in tests and experiments it stops the program, so that it
-// cannot pass unseen.
+// Package invariant checks invariants at run time. A violation is counted, and in tests and
+// experiments it panics, so that it can't go unnoticed.
 package invariant
 
 import (
@@ -8,32 +7,35 @@
 	"sync/atomic"
 )
 
-// Name names an invariant in metrics.
+// Name is the name of an invariant in metrics.
 type Name string
 
 // The invariants.
 const (
-	// DecidedOnce: a request never waits and runs at the same time, and gets
-	// one decision for each time it waits.
+	// DecidedOnce: a request is never queued and running at the same time, and gets exactly
+	// one decision each time it is queued.
 	DecidedOnce Name = "decided-once"
-	// SlotsBounded: an owner never gives out more slots than an engine has.
+	// SlotsBounded: the router that owns an engine's slots never grants more than the engine
+	// has.
 	SlotsBounded Name = "slots-bounded"
-	// WorkConserving: no owner leaves a slot free while a request waits with
-	// it that could run there.
+	// WorkConserving: the owner of a slot never leaves it free while a request is queued at
+	// the owner that could run there.
 	WorkConserving Name = "work-conserving"
-	// CreditsBalance: a policy's credits sum to what it has not handed out.
+	// CreditsBalance: the credits of a policy sum to what it has not handed out.
 	CreditsBalance Name = "credits-balance"
-	// RunsOnce: a request that may not be repeated is not sent again once a
-	// target may have seen it.
+	// RunsOnce: a request that may not be repeated is not retried once a target may have
+	// received it.
 	RunsOnce Name = "runs-once"
-	// NotRunIsTrue: not-run is not said of a request a target may have seen.
+	// NotRunIsTrue: the outcome not-run is never reported for a request that a target may have
+	// received.
 	NotRunIsTrue Name = "not-run-is-true"
-	// NeverReverts: an object's version in force never falls.
+	// NeverReverts: the version in force of an object never decreases.
 	NeverReverts Name = "never-reverts"
-	// ServiceMonotonic: service in reports never falls in one incarnation.
+	// ServiceMonotonic: the amount of service in the reports of one incarnation never
+	// decreases.
 	ServiceMonotonic Name = "service-monotonic"
-	// LeftInTime: nothing is sent to a target that leaves, nor to one whose entry
-	// has been gone for longer than entries may lapse.
+	// LeftInTime: no request is sent to a target that is leaving, nor to one whose entry has
+	// been gone from the store for longer than a lapsed entry may be used.
 	LeftInTime Name = "left-in-time"
 )
 
@@ -58,10 +60,10 @@
 	return m
 }
 
-// Strict makes every breach stop the program; tests and experiments set it.
+// Strict makes every violation panic. It is for tests and experiments.
 func Strict() { strict.Store(true) }
 
-// Check notes a breach of an invariant unless it holds.
+// Check counts a violation of an invariant unless holds is true.
 func Check(holds bool, n Name) {
 	if holds {
 		return
@@ -72,10 +74,10 @@
 	}
 }
 
-// Violations returns the counts of breaches by name, as an expvar value.
+// Violations returns the number of violations by name, as an expvar value.
 func Violations() expvar.Var { return violations }
 
-// Total returns the number of breaches so far.
+// Total returns the number of all violations so far.
 func Total() int64 {
 	var sum int64
 	violations.Do(func(kv expvar.KeyValue) {
--- a/internal/revision/revision.go
+++ b/internal/revision/revision.go
@@ -1,28 +1,29 @@
-// Package revision orders all that a store writes in its life. A store that comes back from a
-// copy gives out revisions again; it is in a new era then, and whatever it says in that is
-// later than all that it said before. An era and a revision make one number, so that what is
-// known, asked for and passed on compares as a number does.
+// Package revision defines a total order of all writes of a store, also across restores. A store
+// that comes back from an older copy hands out the same revisions again. It is in a new era then,
+// and all its revisions are later than any of an earlier era. The era and the store's revision are
+// combined into one number, so that revisions compare as integers.
 package revision
 
 import "github.com/pkg/errors"
 
-// bits is how many bits of a number are the store's revision: enough for some thirty years
-// of a thousand writes a second. The rest is the era, up to eight million.
-const bits = 40
+// storeBits is the number of low bits that hold the store's revision: enough for some thirty
+// years of a thousand writes a second. The other bits hold the era, up to eight million.
+const storeBits = 40
 
-// ErrRange means that an era or a revision is none.
+// ErrRange means that an era or a revision is out of range.
 var ErrRange = errors.New("revision out of range")
 
-// New returns the number for a revision of an era. Those of era 0 are the store's own.
+// New returns the combined number for a revision of an era. In era 0 it equals the store's
+// revision.
 func New(era, store int64) (int64, error) {
-	if era < 0 || era >= 1<<(63-bits) || store < 0 || store >= 1<<bits {
+	if era < 0 || era >= 1<<(63-storeBits) || store < 0 || store >= 1<<storeBits {
 		return 0, errors.Wrapf(ErrRange, "era %d, revision %d", era, store)
 	}
-	return era<<bits | store, nil
+	return era<<storeBits | store, nil
 }
 
-// Era returns the era of a number.
-func Era(n int64) int64 { return n >> bits }
+// Era returns the era of a combined number.
+func Era(n int64) int64 { return n >> storeBits }
 
-// Store returns the store's own revision of a number.
-func Store(n int64) int64 { return n & (1<<bits - 1) }
+// Store returns the store's revision of a combined number.
+func Store(n int64) int64 { return n & (1<<storeBits - 1) }
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -9,7 +9,7 @@
 	"github.com/stepcroft/stepcroft/internal/revision"
 )
 
-// ExampleNew shows that a new era is later than all before it.
+// ExampleNew shows that every revision of a new era is later than any of an earlier one.
 func ExampleNew() {
 	before, _ := revision.New(1, 38)
 	after, _ := revision.New(2, 35)
--- a/internal/roster/cold_test.go
+++ b/internal/roster/cold_test.go
@@ -11,20 +11,21 @@
 	"github.com/stepcroft/stepcroft/internal/message"
 )
 
-// coldRate is what a cold target bears in the plays.
+// coldRate is the request rate that a cold target can take in the simulations.
 var coldRate = coldstart.Rate{PerSecond: 9.8, Most: 19.7}
 
-// coldPart is what the senders of one view may send in a second: three views fit.
+// coldPart is the number of requests per second that routers with the same view of the fleet
+// may send to a cold target together. Three disjoint views stay within coldRate.
 const coldPart = 6.0
 
-// coldTry is the time between tries of a router that has work for each cold target.
+// coldTry is the time between two attempts of a router to send to the cold targets.
 const coldTry = 25 * time.Millisecond
 
-// senders plays routers that send to cold targets all that they may.
+// senders simulates routers that send as many requests to cold targets as they are allowed to.
 type senders struct {
 	*fleet
 	targets []string
-	// arrived has when requests arrived, by target.
+	// arrived holds the arrival times of requests by target.
 	arrived map[string][]time.Duration
 }
 
@@ -36,7 +37,7 @@
 	return s
 }
 
-// launch starts routers, which send as long as they live.
+// launch starts routers, which send requests until they are stopped.
 func (s *senders) launch(incarnation uint64, routers ...*router) {
 	s.fleet.launch(incarnation, routers...)
 	for _, r := range routers {
@@ -59,7 +60,7 @@
 	s.after(coldTry, func() { s.try(r, life, rights, windows) })
 }
 
-// most returns the most that arrived at a target in any second.
+// most returns the maximum number of requests that arrived at a target within a second.
 func (s *senders) most() int {
 	most := 0
 	for _, list := range s.arrived {
@@ -74,8 +75,9 @@
 	return most
 }
 
-// TestColdSenders plays fleets through deaths, restarts, losses and cuts into two or three
-// sides, while each router sends what it may to targets that are cold all along.
+// TestColdSenders checks that a cold target never gets more requests than it can take while
+// routers die and restart, messages are lost and the network is partitioned into up to three
+// parts. All routers send as much as they are allowed to, and the targets stay cold.
 func TestColdSenders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(3, 24).Draw(t, "routers"), rapid.Uint64().Draw(t, "seed"))
@@ -118,8 +120,8 @@
 	})
 }
 
-// TestColdRateIsUsed has a fleet agree: a cold target gets nearly what one view may
-// send.
+// TestColdRateIsUsed checks that a cold target gets nearly coldPart in a fleet whose routers all
+// have the same view.
 func TestColdRateIsUsed(t *testing.T) {
 	const length = 10 * time.Second
 	for name, n := range map[string]int{"3 routers": 3, "91": 91} {
--- a/internal/roster/detect.go
+++ b/internal/roster/detect.go
@@ -7,45 +7,46 @@
 	"github.com/stepcroft/stepcroft/internal/message"
 )
 
-// Tick returns the messages that are due. Call it every few tens of milliseconds.
+// Tick returns the messages that are due: retries and periodic pings, and queued updates. It
+// also advances suspicions. Call it every few tens of milliseconds.
 func (r *Roster) Tick(now time.Time) []Send {
-	out := r.askAgain(now)
-	r.bury(now)
-	if now.Sub(r.pinged) >= r.period() {
-		r.pinged = now
+	out := r.retryPings(now)
+	r.expireSuspects(now)
+	if now.Sub(r.lastPing) >= r.period() {
+		r.lastPing = now
 		out = append(out, r.pingNext(now)...)
 	}
-	if len(r.news) > 0 {
+	if len(r.updates) > 0 {
 		out = append(out, r.Spread(now)...)
 	}
 	return out
 }
 
-// period returns the time between pings.
+// period returns the current time between pings.
 func (r *Roster) period() time.Duration {
 	if len(r.suspects) > 0 {
-		return hastyPeriod
+		return suspectPingPeriod
 	}
 	return pingPeriod
 }
 
-// Spread passes what is new on to a few other routers, and with it which revisions
-// this one has.
+// Gossip returns messages that forward the queued updates, and this router's revisions, to
+// a few random routers.
 func (r *Roster) Spread(now time.Time) []Send {
 	var records []message.RouterRecord
-	for _, id := range r.news {
-		if e := r.others[id]; e != nil {
+	for _, id := range r.updates {
+		if e := r.peers[id]; e != nil {
 			records = append(records, e.RouterRecord)
 		}
 	}
-	r.news = r.news[:0]
+	r.updates = r.updates[:0]
 	parts := chunks(records)
 	if len(parts) == 0 {
-		// Each message has the router's own record.
+		// Without updates, a message still carries this router's own record.
 		parts = append(parts, nil)
 	}
 	var out []Send
-	for _, to := range r.some(now, len(parts) > 1) {
+	for _, to := range r.gossipPeers(now, len(parts) > 1) {
 		for _, part := range parts {
 			m := r.ping(message.PingNotice, false)
 			m.Records = part
@@ -55,17 +56,18 @@
 	return out
 }
 
-// Few returns the Peer addresses of a few other routers, drawn at random, to which
-// news are passed on.
-func (r *Roster) Few(now time.Time) []string { return r.some(now, false) }
+// Few returns the Peer addresses of a few other routers, drawn at random, to forward an
+// update to.
+func (r *Roster) Few(now time.Time) []string { return r.gossipPeers(now, false) }
 
-// some returns the Peer addresses of a few other routers, drawn at random, fewer if
-// there is much to tell; of the seeds where nobody is known.
-func (r *Roster) some(now time.Time, much bool) []string {
+// gossipPeers returns the Peer addresses of a few running routers, drawn at random, and fewer
+// of them if there is more than one message for each. If no other router is known to run, it
+// returns the seeds.
+func (r *Roster) gossipPeers(now time.Time, severalMessages bool) []string {
 	var near, far []string
-	for _, e := range r.list {
+	for _, e := range r.peerList {
 		switch {
-		case !r.believed(now, e):
+		case !r.countsAsRunning(now, e):
 		case e.Zone == r.self.Zone:
 			near = append(near, e.Peer)
 		default:
@@ -76,16 +78,16 @@
 		return r.seeds
 	}
 	wantNear, wantFar := nearFanout, farFanout
-	if much {
-		wantNear, wantFar = wantNear/manyPart, wantFar/manyPart
+	if severalMessages {
+		wantNear, wantFar = wantNear/fanoutDivisor, wantFar/fanoutDivisor
 	}
-	// What one side lacks the other has more of.
+	// If one group is too small, more are taken from the other.
 	fromNear := min(len(near), wantNear+max(wantFar-len(far), 0))
 	fromFar := min(len(far), wantFar+max(wantNear-len(near), 0))
 	return append(r.draw(near, fromNear), r.draw(far, fromFar)...)
 }
 
-// draw returns n of a list, which it reorders.
+// draw returns n random elements of a list, which it reorders.
 func (r *Roster) draw(list []string, n int) []string {
 	for i := range n {
 		j := i + r.random.IntN(len(list)-i)
@@ -94,20 +96,21 @@
 	return list[:n]
 }
 
-// askAgain pings anew who has not answered, or suspects it.
-func (r *Roster) askAgain(now time.Time) []Send {
+// retryPings handles pings that timed out: it pings the router again, or suspects it after
+// pingAttempts.
+func (r *Roster) retryPings(now time.Time) []Send {
 	var out []Send
-	waiting := r.waiting
-	r.waiting = nil
-	for _, id := range waiting {
-		e := r.others[id]
+	unanswered := r.unanswered
+	r.unanswered = nil
+	for _, id := range unanswered {
+		e := r.peers[id]
 		switch {
-		case e == nil || e.asked.IsZero():
-		case now.Sub(e.asked) < answerTime:
-			r.waiting = append(r.waiting, id)
-		case e.missed+1 < tries:
-			e.missed++
-			out = append(out, r.ask(now, e))
+		case e == nil || e.pingedAt.IsZero():
+		case now.Sub(e.pingedAt) < pingTimeout:
+			r.unanswered = append(r.unanswered, id)
+		case e.missedPings+1 < pingAttempts:
+			e.missedPings++
+			out = append(out, r.pingPeer(now, e))
 		default:
 			r.suspect(now, e)
 		}
@@ -115,100 +118,100 @@
 	return out
 }
 
-// suspect notes that a router has not answered. Who hears nobody is cut off itself
-// and suspects nobody.
+// suspect marks a router that has not answered as suspected, unless this router is isolated:
+// then the missing answers say nothing about the other one.
 func (r *Roster) suspect(now time.Time, e *entry) {
-	e.asked, e.missed = time.Time{}, 0
-	if !e.known() || e.Belief != message.Alive || r.cutOff(now) {
+	e.pingedAt, e.missedPings = time.Time{}, 0
+	if !e.hasRecord() || e.Belief != message.Alive || r.isolated(now) {
 		return
 	}
 	n := e.RouterRecord
 	n.Belief = message.Suspected
-	r.hold(now, e, n)
+	r.store(now, e, n)
 }
 
-// bury takes suspects that have not denied it for gone, and forgets those that have
-// been gone for long.
-func (r *Roster) bury(now time.Time) {
+// expireSuspects marks suspected routers as gone if they have not refuted it in time.
+func (r *Roster) expireSuspects(now time.Time) {
 	suspects := r.suspects
 	r.suspects = nil
 	for _, id := range suspects {
-		e := r.others[id]
+		e := r.peers[id]
 		switch {
 		case e == nil || e.Belief != message.Suspected:
-		case r.cutOff(now):
-			// Nothing of what was noted meanwhile tells more than that.
+		case r.isolated(now):
+			// Missing messages during isolation say nothing about the suspected router.
 			e.Belief = message.Alive
-		case now.Sub(e.since) < suspicionTime || now.Sub(e.heard) < suspicionTime && !e.heard.IsZero():
+		case now.Sub(e.beliefSince) < suspicionTimeout || now.Sub(e.lastHeard) < suspicionTimeout && !e.lastHeard.IsZero():
 			r.suspects = append(r.suspects, id)
 		default:
 			n := e.RouterRecord
 			n.Belief = message.Gone
-			r.hold(now, e, n)
+			r.store(now, e, n)
 		}
 	}
 }
 
-// cutOff reports whether no other router has been heard for a while.
-func (r *Roster) cutOff(now time.Time) bool { return now.Sub(r.heard) >= silentTime }
+// isolated reports whether no message from any other router has arrived for a while.
+func (r *Roster) isolated(now time.Time) bool { return now.Sub(r.lastHeard) >= isolationTimeout }
 
-// pingNext pings the next router in turn. Seeds are pinged now and then where no
-// router is known there, since some may have found only one another, and all the
-// time where nobody is heard: those that are known may be gone for good.
+// pingNext pings the next router in turn. Every downPingEvery-th time it also pings the seeds
+// at whose addresses no running router is known, to join separate groups of routers that know
+// only one another. While this router is isolated, it pings the seeds every time, since all
+// the routers that it knows may be gone for good.
 func (r *Roster) pingNext(now time.Time) []Send {
 	r.forget(now)
-	r.pings++
+	r.pingCount++
 	var out []Send
 	e := r.next(now)
 	if e != nil {
-		out = append(out, r.ask(now, e))
+		out = append(out, r.pingPeer(now, e))
 	}
-	if e != nil && r.pings%lostEvery != 0 && !r.cutOff(now) {
+	if e != nil && r.pingCount%downPingEvery != 0 && !r.isolated(now) {
 		return out
 	}
 	for _, peer := range r.seeds {
-		if !r.believedAt(now, peer) {
+		if !r.runsAt(now, peer) {
 			out = append(out, Send{Peer: peer, Ping: r.ping(message.PingAsk, false)})
 		}
 	}
 	return out
 }
 
-// believedAt reports whether a router with a Peer address is taken to be running;
-// one that hears nobody cannot tell.
-func (r *Roster) believedAt(now time.Time, peer string) bool {
-	return !r.cutOff(now) && slices.ContainsFunc(r.list, func(e *entry) bool {
-		return e.Peer == peer && r.believed(now, e)
+// runsAt reports whether a router with a Peer address counts as running. It is false while
+// this router is isolated.
+func (r *Roster) runsAt(now time.Time, peer string) bool {
+	return !r.isolated(now) && slices.ContainsFunc(r.peerList, func(e *entry) bool {
+		return e.Peer == peer && r.countsAsRunning(now, e)
 	})
 }
 
-func (r *Roster) ask(now time.Time, e *entry) Send {
-	e.asked = now
-	r.waiting = append(r.waiting, e.ID)
+func (r *Roster) pingPeer(now time.Time, e *entry) Send {
+	e.pingedAt = now
+	r.unanswered = append(r.unanswered, e.ID)
 	m := r.ping(message.PingAsk, false)
 	if e.Belief != message.Alive {
-		// It must hear of that to deny it.
+		// Tells the router that it is suspected or gone, so that it can refute this.
 		m.Records = []message.RouterRecord{e.RouterRecord}
 	}
 	return Send{Peer: e.Peer, Ping: m}
 }
 
-// next returns the router to be pinged now, nil if there is none.
+// next returns the router to ping next, nil if there is none.
 func (r *Roster) next(now time.Time) *entry {
-	near := func(e *entry) bool { return r.believed(now, e) && e.Zone == r.self.Zone }
-	far := func(e *entry) bool { return r.believed(now, e) && e.Zone != r.self.Zone }
-	if r.pings%lostEvery == 0 {
-		if e := r.lost(now); e != nil {
+	near := func(e *entry) bool { return r.countsAsRunning(now, e) && e.Zone == r.self.Zone }
+	far := func(e *entry) bool { return r.countsAsRunning(now, e) && e.Zone != r.self.Zone }
+	if r.pingCount%downPingEvery == 0 {
+		if e := r.randomDown(now); e != nil {
 			return e
 		}
 	}
 	first, second := &r.near, &r.far
 	firstKeep, secondKeep := near, far
-	every := farEvery
+	every := farPingEvery
 	if len(r.suspects) > 0 {
-		every = farHasty
+		every = suspectFarPingEvery
 	}
-	if r.pings%every == 0 {
+	if r.pingCount%every == 0 {
 		first, second, firstKeep, secondKeep = second, first, secondKeep, firstKeep
 	}
 	if e := first.next(r, firstKeep); e != nil {
@@ -217,14 +220,14 @@
 	if e := second.next(r, secondKeep); e != nil {
 		return e
 	}
-	return r.lost(now)
+	return r.randomDown(now)
 }
 
-// lost returns some router that is not believed to be alive, nil if there is none.
-func (r *Roster) lost(now time.Time) *entry {
+// randomDown returns a random router that does not count as running, nil if there is none.
+func (r *Roster) randomDown(now time.Time) *entry {
 	var lost []*entry
-	for _, e := range r.list {
-		if !r.believed(now, e) {
+	for _, e := range r.peerList {
+		if !r.countsAsRunning(now, e) {
 			lost = append(lost, e)
 		}
 	}
@@ -234,43 +237,44 @@
 	return lost[r.random.IntN(len(lost))]
 }
 
-// forget drops routers that are gone and not listed.
+// forget removes routers that have been gone for goneTTL and are not listed.
 func (r *Roster) forget(now time.Time) {
-	r.list = slices.DeleteFunc(r.list, func(e *entry) bool {
-		old := !e.listed && !r.believed(now, e) && now.Sub(e.since) >= forgetTime
+	r.peerList = slices.DeleteFunc(r.peerList, func(e *entry) bool {
+		old := !e.listed && !r.countsAsRunning(now, e) && now.Sub(e.beliefSince) >= goneTTL
 		if old {
-			delete(r.others, e.ID)
+			delete(r.peers, e.ID)
 		}
 		return old
 	})
 }
 
-// side is a part of the fleet.
-type side struct {
-	// left are those still to be pinged in this round. The order is drawn anew
-	// for each round, so that each is pinged once in it.
-	left []*entry
-	// differing is how many messages in a row showed another digest.
-	differing int
+// group is the part of the fleet in the local availability zone, or that in all others.
+type group struct {
+	// unpinged holds the routers still to be pinged in this round. Each round pings every
+	// router of the group once, in a new random order.
+	unpinged []*entry
+	// mismatches is the number of consecutive messages of the group with a different
+	// digest.
+	mismatches int
 }
 
-// next returns the next router to be pinged of those that keep says, nil if there
-// are none.
-func (s *side) next(r *Roster, keep func(*entry) bool) *entry {
+// next returns the next router to ping of those for which keep returns true, nil if there are
+// none.
+func (g *group) next(r *Roster, keep func(*entry) bool) *entry {
 	for range 2 {
-		for len(s.left) > 0 {
-			e := s.left[0]
-			s.left = s.left[1:]
+		for len(g.unpinged) > 0 {
+			e := g.unpinged[0]
+			g.unpinged = g.unpinged[1:]
 			if keep(e) {
 				return e
 			}
 		}
-		for _, e := range r.list {
+		for _, e := range r.peerList {
 			if keep(e) {
-				s.left = append(s.left, e)
+				g.unpinged = append(g.unpinged, e)
 			}
 		}
-		r.random.Shuffle(len(s.left), func(i, j int) { s.left[i], s.left[j] = s.left[j], s.left[i] })
+		r.random.Shuffle(len(g.unpinged), func(i, j int) { g.unpinged[i], g.unpinged[j] = g.unpinged[j], g.unpinged[i] })
 	}
 	return nil
 }
--- a/internal/roster/known.go
+++ b/internal/roster/known.go
@@ -11,20 +11,19 @@
 	"github.com/stepcroft/stepcroft/internal/rendezvous"
 )
 
-// Live returns what is known of the routers that are believed to be running and
-// not leaving, this one included, by id. A router that is cut off knows of none
-// but itself.
+// Live returns the records of the routers that count as running and are not leaving, this one
+// included, sorted by id. While this router is isolated, it returns only this router's own.
 func (r *Roster) Live(now time.Time) []message.RouterRecord {
 	return slices.SortedFunc(r.Each(now), byID)
 }
 
-// Each returns the same as Live, in no order and without a list of them.
+// Each yields the records that Live returns, unsorted and without allocating a list.
 func (r *Roster) Each(now time.Time) iter.Seq[message.RouterRecord] {
 	return func(yield func(message.RouterRecord) bool) {
 		if !r.self.Leaving && !yield(r.self) {
 			return
 		}
-		for e := range r.believedOthers(now) {
+		for e := range r.runningPeers(now) {
 			if !e.Leaving && !yield(e.RouterRecord) {
 				return
 			}
@@ -32,10 +31,11 @@
 	}
 }
 
-// Serving returns what is known of the other routers that have callers' requests.
+// Serving returns the records of the other running routers that serve callers' requests, sorted
+// by id.
 func (r *Roster) Serving(now time.Time) []message.RouterRecord {
 	var list []message.RouterRecord
-	for e := range r.believedOthers(now) {
+	for e := range r.runningPeers(now) {
 		if e.Serving {
 			list = append(list, e.RouterRecord)
 		}
@@ -44,8 +44,8 @@
 	return list
 }
 
-// Ranked returns the Peer addresses of the n running routers that rendezvous hashing gives to
-// a key, the first first. This one is left out if it is among them.
+// Ranked returns the Peer addresses of the first n live routers for a key by rendezvous
+// hashing, best first. This router is left out if it is one of the n.
 func (r *Roster) Ranked(now time.Time, key string, n int) []string {
 	first := make([]ranked, 0, n+1)
 	hash := rendezvous.Hash(key)
@@ -67,53 +67,54 @@
 	return list
 }
 
-// ranked is a router and its weight for a key.
+// ranked is a router and its rendezvous weight for a key.
 type ranked struct {
 	weight uint64
 	id     message.RouterID
 	peer   string
 }
 
-// Zone returns the availability zone of another router, empty if it is not known.
+// Zone returns the availability zone of another router, empty if the router is not known.
 func (r *Roster) Zone(id message.RouterID) string {
-	if e := r.others[id]; e != nil {
+	if e := r.peers[id]; e != nil {
 		return e.Zone
 	}
 	return ""
 }
 
-// Others returns the number of other routers that are believed to be running.
+// CountOthers returns the number of other routers that count as running.
 func (r *Roster) Others(now time.Time) int {
 	n := 0
-	for range r.believedOthers(now) {
+	for range r.runningPeers(now) {
 		n++
 	}
 	return n
 }
 
-// Majority reports whether the router hears most of those that it knows, or knows from the
-// platform's list that there is no other, and most of its seeds: it is then not on the smaller
-// side of a cut. Where all have just started nobody knows of the other sides, but all have the
-// same seeds.
+// Majority reports whether this router is in the larger part of a network partition: most of
+// the routers that it knows are alive, and so are most of the seeds. The seeds are checked
+// because right after a start a router knows nothing of the other parts, while all routers have
+// the same seeds. An isolated router is in the majority only if the platform's list says that
+// there is no other.
 func (r *Roster) Majority(now time.Time) bool {
-	if r.cutOff(now) && (len(r.list) > 0 || !r.informed) {
+	if r.isolated(now) && (len(r.peerList) > 0 || !r.listReceived) {
 		return false
 	}
 	alive, all := 1, 1
-	for _, e := range r.list {
-		if !e.known() && !e.listed {
+	for _, e := range r.peerList {
+		if !e.hasRecord() && !e.listed {
 			continue
 		}
 		all++
-		if e.known() && e.Belief == message.Alive {
+		if e.hasRecord() && e.Belief == message.Alive {
 			alive++
 		}
 	}
-	return 2*alive > all && r.hearsSeeds()
+	return 2*alive > all && r.mostSeedsAlive()
 }
 
-// hearsSeeds reports whether most of the seeds run, this router included if it is one.
-func (r *Roster) hearsSeeds() bool {
+// mostSeedsAlive reports whether most of the seeds are alive. This router counts if it is one.
+func (r *Roster) mostSeedsAlive() bool {
 	if len(r.seeds) == 0 {
 		return true
 	}
@@ -121,57 +122,59 @@
 	if r.isSeed {
 		running, all = running+1, all+1
 	}
-	for _, e := range r.list {
-		if e.known() && e.Belief == message.Alive && slices.Contains(r.seeds, e.Peer) {
+	for _, e := range r.peerList {
+		if e.hasRecord() && e.Belief == message.Alive && slices.Contains(r.seeds, e.Peer) {
 			running++
 		}
 	}
 	return 2*running > all
 }
 
-// Member returns who a record is about.
+// Member returns the member that a record describes.
 func Member(r message.RouterRecord) member.Member {
 	return member.Member{
 		ID: r.ID, Zone: r.Zone, Address: r.Address, Peer: r.Peer, Incarnation: r.Incarnation, Leaving: r.Leaving,
 	}
 }
 
-// byID orders records.
+// byID compares records by id.
 func byID(a, b message.RouterRecord) int { return cmp.Compare(a.ID, b.ID) }
 
-// believedOthers returns the other routers that are taken to be running; none if
-// this one is cut off.
-func (r *Roster) believedOthers(now time.Time) iter.Seq[*entry] {
+// runningPeers yields the other routers that count as running, none while this router is
+// isolated.
+func (r *Roster) runningPeers(now time.Time) iter.Seq[*entry] {
 	return func(yield func(*entry) bool) {
-		if r.cutOff(now) {
+		if r.isolated(now) {
 			return
 		}
-		for _, e := range r.list {
-			if r.believed(now, e) && !yield(e) {
+		for _, e := range r.peerList {
+			if r.countsAsRunning(now, e) && !yield(e) {
 				return
 			}
 		}
 	}
 }
 
-// believed reports whether a router is taken to be running.
-func (r *Roster) believed(now time.Time, e *entry) bool {
-	if !e.heard.IsZero() && now.Sub(e.heard) < silentTime {
+// countsAsRunning reports whether to treat a router as running: a message from it arrived
+// within isolationTimeout, or its record says that it is not gone, or without a record, it was
+// listed within listedGracePeriod.
+func (r *Roster) countsAsRunning(now time.Time, e *entry) bool {
+	if !e.lastHeard.IsZero() && now.Sub(e.lastHeard) < isolationTimeout {
 		return true
 	}
-	if !e.known() {
-		return e.listed && now.Sub(e.since) < startTime
+	if !e.hasRecord() {
+		return e.listed && now.Sub(e.beliefSince) < listedGracePeriod
 	}
 	return e.Belief != message.Gone
 }
 
-// hash returns a hash of what orders records.
+// hash returns a hash of a record's id, incarnation and version.
 func hash(r message.RouterRecord) uint64 {
 	return mix(mix(rendezvous.Hash(string(r.ID))^r.Incarnation) ^ r.Version)
 }
 
-// mix spreads the bits of x: multiplied with odd numbers whose bits are as good as
-// random, and the high half folded onto the low one in between.
+// mix is a bijective bit mixer: it alternates between folding high bits onto low ones and
+// multiplying by random odd numbers.
 func mix(x uint64) uint64 {
 	const a, b = 0xd6e8feb86659fd93, 0xa0761d6478bd642f
 	x = (x ^ x>>32) * a
--- a/internal/roster/news_test.go
+++ b/internal/roster/news_test.go
@@ -11,18 +11,17 @@
 	"github.com/stepcroft/stepcroft/internal/quarantine"
 )
 
-// busyTime is how late a busy box may take a message in.
+// busyTime is the maximum delay with which a busy box processes a message.
 const busyTime = 200 * time.Millisecond
 
-// suspecting has what each router of a fleet knows of requests that end targets, and its
-// exchange with the others. Who pings somebody that knows something else asks for all, as the
-// program does.
+// suspecting simulates how the routers of a fleet exchange what they know of requests that crash
+// targets. As in the product, a router whose ping shows a different digest requests all records.
 type suspecting struct {
 	*fleet
 	states    []*quarantine.State
 	exchanges []*quarantine.Exchange
 	at        map[*router]int
-	// messages and bytes count what is told, taken the records taken in.
+	// messages and bytes count what is sent, taken counts the records received.
 	messages, bytes, taken int
 }
 
@@ -39,7 +38,7 @@
 	return s
 }
 
-// found passes on what is new at a router.
+// found forwards the records that are new at a router.
 func (s *suspecting) found(r *router) {
 	_, parcels := s.exchanges[s.at[r]].Found(s.time())
 	s.pass(r, parcels)
@@ -52,15 +51,16 @@
 }
 
 const (
-	// recordsEach is the number of records in a message, messageBytes, recordBytes and
-	// crashBytes what is counted for each.
-	recordsEach                           = 12
+	// maxRecordsPerMessage bounds the records in a message. messageBytes, recordBytes and
+	// crashBytes are the assumed sizes of a message without records, of a record without
+	// crashes and of a crash.
+	maxRecordsPerMessage                  = 12
 	messageBytes, recordBytes, crashBytes = 60, 50, 25
 )
 
 // tell sends records to a router, unless they are lost.
 func (s *suspecting) tell(from, to *router, list []quarantine.Record) {
-	for part := range slices.Chunk(list, recordsEach) {
+	for part := range slices.Chunk(list, maxRecordsPerMessage) {
 		s.messages++
 		s.bytes += messageBytes
 		for _, r := range part {
@@ -78,7 +78,7 @@
 	}
 }
 
-// ping compares a router four times a second with another one.
+// ping compares the digest of a router with that of a random one, four times a second.
 func (s *suspecting) ping(r *router) {
 	other := s.routers[s.random.IntN(len(s.routers))]
 	if s.exchanges[s.at[r]].Differs(s.time(), s.states[s.at[other]].Digest()) {
@@ -87,13 +87,13 @@
 	s.after(250*time.Millisecond, func() { s.ping(r) })
 }
 
-// beat looks at each router for what is due, as the program does.
+// beat sends what is due at a router in regular intervals, as the product does.
 func (s *suspecting) beat(r *router) {
 	s.found(r)
 	s.after(50*time.Millisecond, func() { s.beat(r) })
 }
 
-// knowing returns how many routers know of so many ends.
+// knowing returns the number of routers that know of at least so many crashes by a request.
 func (s *suspecting) knowing(k quarantine.Key, ends int) int {
 	n := 0
 	for _, state := range s.states {
@@ -105,7 +105,7 @@
 }
 
 var _ = Describe("News of requests that end targets", func() {
-	// Routers are held to the bound from three seconds after the third end on.
+	// All routers must know of the third crash within three seconds.
 	DescribeTable(
 		"reach all in time, whoever sees which end", func(n int, loss float64) {
 			f := newFleet(n, 8)
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,9 +1,9 @@
-// Package roster knows the routers of a fleet at a cost to each that does not grow
-// with their number. A router pings a few others a second, mostly of its own
-// availability zone, and tells what is new to a few more, which do the same. One
-// that does not answer is suspected, and gone if it does not deny that. A Roster
-// is a plain state machine: time comes in through arguments, what is to be sent is
-// returned, and one goroutine drives it.
+// Package roster implements a SWIM-like gossip membership of a fleet's routers, whose cost to
+// each router does not grow with their number. A router pings a few others a second, mostly
+// in its own availability zone, and forwards each update to a few more, which do the same. A
+// router that does not answer pings becomes suspected, and gone if it does not refute the
+// suspicion in time. A Roster does no I/O and reads no clock: the time is passed in, the
+// messages to send are returned. It must be used from one goroutine.
 package roster
 
 import (
@@ -17,132 +17,136 @@
 )
 
 const (
-	// pingPeriod is the time between pings: each router is pinged as often as it
-	// pings, so that one that dies is asked by somebody within about this time.
+	// pingPeriod is the time between two pings of a router. On average each router is
+	// pinged as often as it pings, so that a dead one is pinged within about this time.
 	pingPeriod = 250 * time.Millisecond
-	// hastyPeriod is the same while any router is suspected: a fault seldom strikes
-	// one alone. With it a lost availability zone of 30 of 90 routers is known to
-	// all within 6 s instead of 8.
-	hastyPeriod = 100 * time.Millisecond
-	// answerTime is how long an answer may take: a round trip of some
-	// milliseconds, and what a box with a fifth of a core may lie behind.
-	answerTime = 300 * time.Millisecond
-	// tries is the number of pings without an answer that make a router
-	// suspected: one may be lost.
-	tries = 2
-	// suspicionTime is for how long a suspected router may deny it: news take a
-	// few milliseconds each way, and a busy box may be late by a second.
-	suspicionTime = 1500 * time.Millisecond
-	// silentTime is after how long without any message a router takes itself to
-	// be cut off: it has then sent six pings.
-	silentTime = 1500 * time.Millisecond
-	// startTime is for how long a router that is listed and was never heard
-	// counts as alive.
-	startTime = 1500 * time.Millisecond
-	// forgetTime is for how long one that is gone and not listed is remembered,
-	// so that old news of it are not taken for a new router.
-	forgetTime = time.Minute
-	// syncPause is the time between requests for all that another router knows,
-	// settleTime that without news before one, and differences the number of
-	// messages in a row that show another digest: news that are still on their way
-	// make a few. Where 295 routers start at once, tables asked for meanwhile were
-	// most of 214,000 messages and 121 MB in the first 4 s.
-	syncPause   = time.Second
-	settleTime  = 300 * time.Millisecond
-	differences = 3
-	// nearFanout and farFanout are to how many others of the own availability zone
-	// and of other ones news are passed on, once. Passed on to six, they miss one
-	// router in 400; that one learns from a digest. Where much is new at once, a
-	// part of them do: it is cheaper then to ask one router for all that was
-	// missed.
-	nearFanout = 4
-	farFanout  = 2
-	manyPart   = 2
-	// farEvery and lostEvery say which pings go to another availability zone and
-	// which to a router that is gone or was never heard, since it may be back.
-	// Bytes between zones are paid for, so most stay inside one; while any router
-	// is suspected, half of them.
-	farEvery  = 4
-	farHasty  = 2
-	lostEvery = 8
-	// recordsEach is the number of records in one message, so that it fits into a
-	// datagram.
-	recordsEach = 9
+	// suspectPingPeriod replaces pingPeriod while any router is suspected, since failures
+	// are often correlated. It shortens the time until all routers know of the loss of an
+	// availability zone with 30 of 90 routers from 8 s to 6 s.
+	suspectPingPeriod = 100 * time.Millisecond
+	// pingTimeout allows for a round trip of some milliseconds and the scheduling delays
+	// of a box with a fifth of a core.
+	pingTimeout = 300 * time.Millisecond
+	// pingAttempts is the number of consecutive unanswered pings after which a router is
+	// suspected. One ping may be lost on the network.
+	pingAttempts = 2
+	// suspicionTimeout is how long a suspected router has to refute the suspicion before
+	// it counts as gone. Updates take a few milliseconds each way, and a busy box may be
+	// a second late.
+	suspicionTimeout = 1500 * time.Millisecond
+	// isolationTimeout is the time without a message from any other router after which
+	// a router considers itself isolated. It has sent six pings by then.
+	isolationTimeout = 1500 * time.Millisecond
+	// listedGracePeriod is how long a router on the platform's list counts as running
+	// although nothing was ever received from or about it.
+	listedGracePeriod = 1500 * time.Millisecond
+	// goneTTL is how long a router that is gone and no longer listed is remembered, so
+	// that a late update about it does not make it look like a new router.
+	goneTTL = time.Minute
+	// A full sync requests all records of another router. syncInterval is the minimum
+	// time between two, settleDelay the time without updates before one, and
+	// minMismatches the number of consecutive messages with a different digest that
+	// triggers one, since updates in flight cause a few. When 295 routers start at once,
+	// premature full syncs made up most of 214,000 messages and 121 MB in the first 4 s.
+	syncInterval  = time.Second
+	settleDelay   = 300 * time.Millisecond
+	minMismatches = 3
+	// nearFanout and farFanout are the numbers of routers in the local and in other
+	// availability zones to which a router forwards each update, once. With six in
+	// total, an update misses one router in 400, which notices by a different digest.
+	// When the updates do not fit into one message, the fanout is divided by
+	// fanoutDivisor: a full sync for what was missed is cheaper then.
+	nearFanout    = 4
+	farFanout     = 2
+	fanoutDivisor = 2
+	// Every farPingEvery-th ping goes to another availability zone: traffic between zones
+	// costs money. While any router is suspected, it is every suspectFarPingEvery-th. Every
+	// downPingEvery-th ping goes to a router that does not count as running, which may
+	// be back.
+	farPingEvery        = 4
+	suspectFarPingEvery = 2
+	downPingEvery       = 8
+	// maxRecordsPerMessage keeps a message small enough for a datagram.
+	maxRecordsPerMessage = 9
 )
 
-// Send is a message to be sent to a router's Peer address.
+// Outgoing is a message to be sent to a router's Peer address.
 type Send struct {
 	Peer string
 	Ping message.Ping
 }
 
-// entry is what is known of another router.
+// entry holds the state of another router.
 type entry struct {
 	message.RouterRecord
 	listed bool
-	// heard is when it last said something, since when its Belief has been held.
-	heard, since time.Time
-	// asked is when it was last pinged without an answer yet, missed how many
-	// pings before that had none.
-	asked  time.Time
-	missed int
+	// lastHeard is when its last message arrived, beliefSince when the current record,
+	// with its Belief, was stored.
+	lastHeard, beliefSince time.Time
+	// pingedAt is when the outstanding ping was sent, zero if there is none. missedPings
+	// is the number of pings before that one that timed out.
+	pingedAt    time.Time
+	missedPings int
 }
 
-// weight is what the entry adds to the digest.
-func (e *entry) weight() uint64 {
-	if !e.known() || e.Belief == message.Gone {
+// digestPart returns the entry's contribution to the digest.
+func (e *entry) digestPart() uint64 {
+	if !e.hasRecord() || e.Belief == message.Gone {
 		return 0
 	}
 	return hash(e.RouterRecord)
 }
 
-// known reports whether anything but an entry in a list is known of the router.
-func (e *entry) known() bool { return e.Incarnation > 0 }
+// hasRecord reports whether a record of the router has arrived. Without one, only its entry
+// on the platform's list is hasRecord.
+func (e *entry) hasRecord() bool { return e.Incarnation > 0 }
 
-// Roster is one router's knowledge of the fleet's routers. Use New to make one.
+// Roster is one router's view of the fleet's routers. Use New to make one.
 type Roster struct {
 	self   message.RouterRecord
 	seeds  []string
 	isSeed bool
 	random *rand.Rand
-	others map[message.RouterID]*entry
-	// list has the same entries in the order in which they came.
-	list []*entry
-	// heard is when any other router last said something, or the start.
-	heard time.Time
-	// pinged is when the last ping was due, pings their number.
-	pinged time.Time
-	pings  int
-	// near are the routers of the own availability zone, far those of others.
-	near, far side
-	// waiting has the routers that were pinged and have not answered, suspects
-	// those that are suspected.
-	waiting, suspects []message.RouterID
-	// news are the routers of which something is to be passed on.
-	news []message.RouterID
-	// learned is when anything new was last heard of another router.
-	learned time.Time
-	// synced is when all was last asked for.
-	synced time.Time
-	// changes are the beliefs that changed since they were asked for.
+	peers  map[message.RouterID]*entry
+	// peerList holds the entries of peers in the order in which they were added.
+	peerList []*entry
+	// lastHeard is when the last message from any other router arrived, initially the
+	// start time.
+	lastHeard time.Time
+	// lastPing is when the last periodic ping was sent, pingCount their number.
+	lastPing  time.Time
+	pingCount int
+	// near is the group of routers in the local availability zone, far that of all others.
+	near, far group
+	// unanswered holds the routers with an outstanding ping, suspects those that are
+	// suspected.
+	unanswered, suspects []message.RouterID
+	// updates holds the routers whose records are to be forwarded.
+	updates []message.RouterID
+	// lastUpdate is when the record of another router last changed.
+	lastUpdate time.Time
+	// lastSync is when a full sync was last requested.
+	lastSync time.Time
+	// changes holds the records that changed a belief since the last call of Changes.
 	changes []message.RouterRecord
-	// informed is set once the platform's list of routers came.
-	informed bool
-	// has are this router's revisions, quarantine its digest of requests that ended
-	// targets.
-	has        message.Revisions
-	quarantine uint64
-	// digest is a hash over all that is known of routers that are not gone.
+	// listReceived is set once the platform's list of routers has arrived.
+	listReceived bool
+	// revisions are those of this router's copy of the store's entries, quarantineDigest
+	// is that of its knowledge of requests that crashed targets.
+	revisions        message.Revisions
+	quarantineDigest uint64
+	// digest is the XOR of the hashes of all records of routers that are not gone, this
+	// router's own included.
 	digest uint64
 }
 
-// New returns a roster that holds only the router itself. Seeds are Peer addresses
-// of routers, which may be stale.
+// New returns a roster that holds only the local router, self. The seeds are Peer addresses
+// of routers to contact first. Some of them may be out of date.
 func New(now time.Time, self message.RouterRecord, seeds []string, random *rand.Rand) *Roster {
 	self.Version = 1
 	r := &Roster{
-		self: self, random: random, others: map[message.RouterID]*entry{},
-		heard: now, pinged: now.Add(-pingPeriod), synced: now.Add(-syncPause), digest: hash(self),
+		self: self, random: random, peers: map[message.RouterID]*entry{},
+		lastHeard: now, lastPing: now.Add(-pingPeriod), lastSync: now.Add(-syncInterval), digest: hash(self),
 	}
 	for _, s := range seeds {
 		if s == self.Peer {
@@ -151,19 +155,20 @@
 		}
 		r.seeds = append(r.seeds, s)
 	}
-	r.news = append(r.news, self.ID)
+	r.updates = append(r.updates, self.ID)
 	return r
 }
 
-// Self returns what the router says of itself.
+// Self returns the record of the local router.
 func (r *Roster) Self() message.RouterRecord { return r.self }
 
-// Say takes over what the router says of itself; of a record, the conditions count
-// and not who it is. It returns whether anything is new.
-func (r *Roster) Say(said message.RouterRecord) bool {
+// UpdateSelf sets the conditions in the local router's record (Ready, Leaving, Serving,
+// StoreTrouble and Capacity) to those of a record, whose other fields are ignored. It reports
+// whether any of them changed, and queues the new record for the other routers.
+func (r *Roster) Say(record message.RouterRecord) bool {
 	next := r.self
-	next.Ready, next.Leaving, next.Serving = said.Ready, said.Leaving, said.Serving
-	next.StoreTrouble, next.Capacity = said.StoreTrouble, said.Capacity
+	next.Ready, next.Leaving, next.Serving = record.Ready, record.Leaving, record.Serving
+	next.StoreTrouble, next.Capacity = record.StoreTrouble, record.Capacity
 	if next == r.self {
 		return false
 	}
@@ -172,16 +177,16 @@
 	return true
 }
 
-// Have notes which revisions of what the store holds this router has, and the digest of
-// what it knows of requests that ended targets.
-func (r *Roster) Have(has message.Revisions, quarantine uint64) {
-	r.has, r.quarantine = has, quarantine
+// SetRevisions sets what pings say about the data of this router: the revisions of its copy
+// of the store's entries, and the digest of what it knows of requests that crashed targets.
+func (r *Roster) Have(revisions message.Revisions, quarantineDigest uint64) {
+	r.revisions, r.quarantineDigest = revisions, quarantineDigest
 }
 
-// Listed takes over the platform's list of routers.
+// SetList replaces the platform's list of routers.
 func (r *Roster) Listed(now time.Time, boxes []config.Box) {
-	r.informed = true
-	for _, e := range r.others {
+	r.listReceived = true
+	for _, e := range r.peers {
 		e.listed = false
 	}
 	for _, b := range boxes {
@@ -191,55 +196,56 @@
 		}
 		e := r.entry(now, id)
 		e.listed = true
-		if !e.known() {
+		if !e.hasRecord() {
 			e.Zone, e.Address, e.Peer = b.Zone, b.Address, b.Peer
 		}
 	}
 	if !r.connected() {
-		// Those that are listed hear of this router at once.
-		r.tell(r.self.ID)
+		// Announces this router to the listed ones at once.
+		r.queueUpdate(r.self.ID)
 	}
 }
 
 func (r *Roster) entry(now time.Time, id message.RouterID) *entry {
-	e := r.others[id]
+	e := r.peers[id]
 	if e == nil {
-		e = &entry{since: now}
+		e = &entry{beliefSince: now}
 		e.ID = id
-		r.others[id] = e
-		r.list = append(r.list, e)
+		r.peers[id] = e
+		r.peerList = append(r.peerList, e)
 	}
 	return e
 }
 
-// Heard notes that another router said something in another way than by a ping.
+// NoteContact notes that a message other than a ping arrived from another router.
 func (r *Roster) Heard(now time.Time, id message.RouterID) {
-	r.heard = now
-	if e := r.others[id]; e != nil {
-		r.alive(now, e)
+	r.lastHeard = now
+	if e := r.peers[id]; e != nil {
+		r.markHeard(now, e)
 	}
 }
 
-// alive notes a sign of life.
-func (r *Roster) alive(now time.Time, e *entry) {
-	e.heard = now
-	e.asked, e.missed = time.Time{}, 0
+// markHeard notes that a message from the router has arrived, which answers an outstanding
+// ping.
+func (r *Roster) markHeard(now time.Time, e *entry) {
+	e.lastHeard = now
+	e.pingedAt, e.missedPings = time.Time{}, 0
 }
 
-// Take takes in a message and returns what to answer.
+// Receive processes a ping message and returns the messages to send in response.
 func (r *Roster) Take(now time.Time, m message.Ping) []Send {
 	if m.From.ID == r.self.ID {
 		return nil
 	}
-	// Who has just come, or comes back, hears at once what the others know.
-	first := !r.connected()
-	r.heard = now
+	// A router that has just joined or rejoined requests a full sync at once.
+	firstContact := !r.connected()
+	r.lastHeard = now
 	r.merge(now, m.From)
-	e := r.others[m.From.ID]
+	e := r.peers[m.From.ID]
 	if e == nil {
 		return nil
 	}
-	r.alive(now, e)
+	r.markHeard(now, e)
 	for _, record := range m.Records {
 		r.merge(now, record)
 	}
@@ -247,44 +253,45 @@
 	if m.Kind == message.PingAsk {
 		out = append(out, r.answer(e, m)...)
 	}
-	if r.wantsAll(now, e, m.Digest, first) {
+	if r.startSync(now, e, m.Digest, firstContact) {
 		out = append(out, Send{Peer: e.Peer, Ping: r.ping(message.PingAsk, true)})
 	}
 	return out
 }
 
-// Awake notes that the box was suspended. Pings that were on their way say nothing of who
-// did not answer, and who was suspected has had no time to deny it.
+// Resume must be called after the box was suspended. It drops the outstanding pings, since a
+// missing answer says nothing about the pinged router, and restarts the suspicion timeouts,
+// since refutations could not arrive meanwhile.
 func (r *Roster) Awake(now time.Time) {
-	for _, id := range r.waiting {
-		if e := r.others[id]; e != nil {
-			e.asked, e.missed = time.Time{}, 0
+	for _, id := range r.unanswered {
+		if e := r.peers[id]; e != nil {
+			e.pingedAt, e.missedPings = time.Time{}, 0
 		}
 	}
-	r.waiting = nil
+	r.unanswered = nil
 	for _, id := range r.suspects {
-		if e := r.others[id]; e != nil {
-			e.since = now
+		if e := r.peers[id]; e != nil {
+			e.beliefSince = now
 		}
 	}
 }
 
-// connected reports whether anything is known of another router but that it is
-// listed.
+// connected reports whether the record of any other router has arrived.
 func (r *Roster) connected() bool {
-	return slices.ContainsFunc(r.list, (*entry).known)
+	return slices.ContainsFunc(r.peerList, (*entry).hasRecord)
 }
 
-// answer returns the answer to a ping, with what the sender must know of what is
-// said about itself, and all that is known if it asks for that.
+// answer returns the answer to a ping. It holds the record of the sender if the one known here
+// is newer than the sender's own, for the sender to refute, and all other records if the sender
+// requests a full sync.
 func (r *Roster) answer(e *entry, m message.Ping) []Send {
 	all := []message.RouterRecord{}
 	if supersedes(e.RouterRecord, m.From) {
 		all = append(all, e.RouterRecord)
 	}
 	if m.WantAll {
-		for _, other := range r.list {
-			if other.known() && other != e {
+		for _, other := range r.peerList {
+			if other.hasRecord() && other != e {
 				all = append(all, other.RouterRecord)
 			}
 		}
@@ -299,75 +306,76 @@
 	return out
 }
 
-// wantsAll reports whether to ask the sender of a digest for all that it knows: the
-// first that is met, and later one of the own availability zone, or of another
-// where all in the own one agree and still differ from the rest.
-func (r *Roster) wantsAll(now time.Time, e *entry, digest uint64, first bool) bool {
-	differing := &r.near.differing
+// startSync reports whether to request a full sync from the sender of a digest, and if so
+// notes it as requested. It does so from the first router that it hears from, and later from
+// one whose group has sent minMismatches different digests in a row. Routers of other
+// availability zones come into question only while the local zone agrees.
+func (r *Roster) startSync(now time.Time, e *entry, digest uint64, firstContact bool) bool {
+	differing := &r.near.mismatches
 	if e.Zone != r.self.Zone {
-		differing = &r.far.differing
+		differing = &r.far.mismatches
 	}
 	*differing++
 	if digest == r.digest {
 		*differing = 0
 	}
-	soon := now.Sub(r.synced) < syncPause || now.Sub(r.learned) < settleTime
-	waits := e.Zone != r.self.Zone && r.near.differing > 0
-	if *differing == 0 || !first && (*differing < differences || soon || waits) {
+	tooSoon := now.Sub(r.lastSync) < syncInterval || now.Sub(r.lastUpdate) < settleDelay
+	awaitsLocalZone := e.Zone != r.self.Zone && r.near.mismatches > 0
+	if *differing == 0 || !firstContact && (*differing < minMismatches || tooSoon || awaitsLocalZone) {
 		return false
 	}
-	r.near.differing, r.far.differing = 0, 0
-	r.synced = now
+	r.near.mismatches, r.far.mismatches = 0, 0
+	r.lastSync = now
 	return true
 }
 
-// merge takes over a record if it is newer than what is known.
+// merge stores a record if it is newer than the known one.
 func (r *Roster) merge(now time.Time, n message.RouterRecord) {
 	if n.ID == r.self.ID {
-		r.deny(n)
+		r.refute(n)
 		return
 	}
-	if r.others[n.ID] == nil && n.Belief == message.Gone {
+	if r.peers[n.ID] == nil && n.Belief == message.Gone {
 		return
 	}
 	e := r.entry(now, n.ID)
-	if !e.known() || supersedes(n, e.RouterRecord) {
-		r.hold(now, e, n)
+	if !e.hasRecord() || supersedes(n, e.RouterRecord) {
+		r.store(now, e, n)
 	}
 }
 
-// hold takes over a record and passes it on.
-func (r *Roster) hold(now time.Time, e *entry, n message.RouterRecord) {
-	r.note(e, n)
-	r.digest ^= e.weight()
+// store replaces the record of a router and queues it to be forwarded.
+func (r *Roster) store(now time.Time, e *entry, n message.RouterRecord) {
+	r.noteChange(e, n)
+	r.digest ^= e.digestPart()
 	e.RouterRecord = n
-	e.since = now
-	r.learned = now
-	r.digest ^= e.weight()
+	e.beliefSince = now
+	r.lastUpdate = now
+	r.digest ^= e.digestPart()
 	if n.Belief == message.Suspected {
 		r.suspects = append(r.suspects, n.ID)
 	}
-	r.tell(n.ID)
+	r.queueUpdate(n.ID)
 }
 
-// note keeps a record for Changes if it changes what is believed of a router.
-func (r *Roster) note(e *entry, n message.RouterRecord) {
-	if !e.known() || e.Incarnation != n.Incarnation || e.Belief != n.Belief {
+// noteChange keeps a record for Changes if its belief or incarnation is a new one.
+func (r *Roster) noteChange(e *entry, n message.RouterRecord) {
+	if !e.hasRecord() || e.Incarnation != n.Incarnation || e.Belief != n.Belief {
 		r.changes = append(r.changes, n)
 	}
 }
 
-// Changes returns the records by which the belief in a router changed since the
-// last call: it was found, restarted, is suspected, denied that, or is gone.
+// Changes returns the records that changed the belief about a router since the last call: it
+// was discovered, has restarted, is suspected, has refuted a suspicion, or is gone.
 func (r *Roster) Changes() []message.RouterRecord {
 	list := r.changes
 	r.changes = nil
 	return list
 }
 
-// deny answers a record about this router itself that it did not write: that it is
-// suspected, or from a life whose clock was ahead.
-func (r *Roster) deny(n message.RouterRecord) {
+// refute overrides a record about this router itself that others hold: a suspicion, or a
+// record of an earlier process whose clock was ahead, and whose incarnation is higher therefore.
+func (r *Roster) refute(n message.RouterRecord) {
 	next := r.self
 	switch {
 	case n.Incarnation > next.Incarnation:
@@ -385,10 +393,10 @@
 func (r *Roster) setSelf(next message.RouterRecord) {
 	r.digest ^= hash(r.self) ^ hash(next)
 	r.self = next
-	r.tell(next.ID)
+	r.queueUpdate(next.ID)
 }
 
-// supersedes reports whether a record is newer than another of the same router.
+// supersedes reports whether record a is newer than b, of the same router.
 func supersedes(a, b message.RouterRecord) bool {
 	if c := cmp.Compare(a.Incarnation, b.Incarnation); c != 0 {
 		return c > 0
@@ -399,21 +407,21 @@
 	return a.Belief > b.Belief
 }
 
-// tell notes that something new of a router is to be passed on.
-func (r *Roster) tell(id message.RouterID) {
-	if !slices.Contains(r.news, id) {
-		r.news = append(r.news, id)
+// queueUpdate marks a router's record to be forwarded with the next Gossip.
+func (r *Roster) queueUpdate(id message.RouterID) {
+	if !slices.Contains(r.updates, id) {
+		r.updates = append(r.updates, id)
 	}
 }
 
 // ping returns a message without records.
 func (r *Roster) ping(kind message.PingKind, all bool) message.Ping {
 	return message.Ping{
-		From: r.self, Kind: kind, Revisions: r.has, Digest: r.digest, WantAll: all,
-		Quarantine: r.quarantine,
+		From: r.self, Kind: kind, Revisions: r.revisions, Digest: r.digest, WantAll: all,
+		Quarantine: r.quarantineDigest,
 	}
 }
 
 func chunks(all []message.RouterRecord) [][]message.RouterRecord {
-	return slices.Collect(slices.Chunk(all, recordsEach))
+	return slices.Collect(slices.Chunk(all, maxRecordsPerMessage))
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -22,12 +22,13 @@
 }
 
 const (
-	// beat is the time between ticks, trip how long a message takes.
+	// beat is the time between ticks, trip the minimum latency of a message.
 	beat = 50 * time.Millisecond
 	trip = 2 * time.Millisecond
 )
 
-// event is something that happens at a time; equal times keep their order.
+// event is a function to call at a simulated time. Events of the same time run in the order in
+// which they were added.
 type event struct {
 	at time.Duration
 	n  int
@@ -55,18 +56,18 @@
 	return last
 }
 
-// router is a router of a fleet, running or not.
+// router is a simulated router, running or not.
 type router struct {
 	*roster.Roster
 	name, zone string
 	runs       bool
-	// life is counted, so that ticks of an earlier one end.
+	// life is the number of starts. The ticks of an earlier life stop when it changes.
 	life int
-	// sent counts messages, records what they carried.
+	// sent counts the messages sent, records the records in them.
 	sent, records int
 }
 
-// fleet plays routers in virtual time.
+// fleet simulates routers and their network in virtual time.
 type fleet struct {
 	start   time.Time
 	now     time.Duration
@@ -75,12 +76,13 @@
 	random  *rand.Rand
 	routers []*router
 	byPeer  map[string]*router
-	// loss is the part of messages that are lost; cut says which never arrive.
+	// loss is the fraction of messages that are lost at random. cut reports whether the
+	// network drops all messages between two routers.
 	loss float64
 	cut  func(from, to *router) bool
 }
 
-// newFleet returns routers in three availability zones, none of which runs.
+// newFleet returns n stopped routers in three availability zones.
 func newFleet(n int, seed uint64) *fleet {
 	f := &fleet{
 		start: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 1)), byPeer: map[string]*router{},
@@ -101,7 +103,7 @@
 	heap.Push(&f.queue, event{f.now + d, f.n, do})
 }
 
-// run plays on for a time.
+// run advances the virtual time by d.
 func (f *fleet) run(d time.Duration) {
 	end := f.now + d
 	for len(f.queue) > 0 && f.queue[0].at <= end {
@@ -112,8 +114,8 @@
 	f.now = end
 }
 
-// launch starts routers whose clocks show a time as their incarnation. Each knows
-// the first as a seed, and nothing else.
+// launch starts routers with an incarnation. Each has the first router of the fleet as its only
+// seed.
 func (f *fleet) launch(incarnation uint64, routers ...*router) {
 	for _, r := range routers {
 		r.runs = true
@@ -150,15 +152,15 @@
 	}
 }
 
-// stop ends routers without a word.
+// stop kills routers; they send no message.
 func (f *fleet) stop(routers ...*router) {
 	for _, r := range routers {
 		r.runs = false
 	}
 }
 
-// disagreements counts the pairs of running routers of which the first holds a
-// belief about the second, or about one that does not run, that is wrong.
+// disagreements counts the pairs of a running router and any router of which the first is wrong
+// about whether the second runs.
 func (f *fleet) disagreements() int {
 	n := 0
 	for _, r := range f.routers {
@@ -178,7 +180,8 @@
 	return n
 }
 
-// settles returns how long it takes until all are right, at most limit.
+// settles runs the simulation until there are no disagreements, at most for limit, and returns how
+// long that took.
 func (f *fleet) settles(limit time.Duration) time.Duration {
 	began := f.now
 	for f.now-began < limit && f.disagreements() > 0 {
@@ -224,8 +227,8 @@
 		Expect(f.settles(10 * time.Second)).To(BeNumerically("<", 3*time.Second))
 	})
 
-	// Without being told, a router that wakes takes those for gone that were suspected
-	// before: by its clock they have had their time to deny it.
+	// Without the call of Resume, a resumed router considers those gone that it suspected
+	// before: by its clock they have had enough time to refute the suspicion.
 	It("take nobody for gone for their own suspension", func() {
 		for length := 200 * time.Millisecond; length < 20*time.Second; length = length * 3 / 2 {
 			f := newFleet(12, 5)
--- a/internal/roster/storm_test.go
+++ b/internal/roster/storm_test.go
@@ -8,27 +8,27 @@
 	"github.com/stepcroft/stepcroft/internal/quarantine"
 )
 
-// An availability zone whose engines all end in one moment: the load pattern is what ran
-// there, some of which had been at two of them, since whoever had heard nothing for a while
-// went on at another.
+// The simulated failure: all engines of an availability zone crash at the same time. Some of the
+// requests that ran there had been sent to two of these engines, since a request that gets no
+// response for a while is retried on another engine.
 const (
 	stormEngines = 20
 	stormEach    = 30
-	// stormTwice is the part of the requests that had been at two.
+	// stormTwice is the fraction of the requests that had been sent to two engines.
 	stormTwice = 0.1
-	// stormSight is within which time routers see that an engine has ended: they are
-	// told by connections that are reset when something is sent on them.
+	// stormSight is the maximum time until a router notices that an engine has crashed: its
+	// connection is reset when it sends something.
 	stormSight = 300 * time.Millisecond
-	// stormTime is for how long the fleet is looked at.
+	// stormTime is the duration of the simulation after the crash.
 	stormTime = 12 * time.Second
-	// stormBytes is what a router may tell others of all this, in bytes a second, and
-	// stormTaken how many records it may take in: at some 10 microseconds each 0.2% of a
-	// core.
+	// stormBytes bounds what a router sends about the crashes, in bytes per second, and
+	// stormTaken the number of records that it receives per second. At about 10 microseconds
+	// each, they take 0.2% of a core.
 	stormBytes = 1000
 	stormTaken = 200
 )
 
-// storm has all engines of a zone end, and returns the requests that ran there.
+// storm simulates the crash of all engines of a zone and returns the requests that ran there.
 func (s *suspecting) storm() []quarantine.Key {
 	var keys []quarantine.Key
 	seen := map[int]map[*router]bool{}
@@ -59,7 +59,7 @@
 	return keys
 }
 
-// heldBack returns how many requests are held back, over all routers.
+// heldBack returns the number of requests that are held back, summed over all routers.
 func (s *suspecting) heldBack(keys []quarantine.Key) int {
 	n := 0
 	for _, state := range s.states {
@@ -73,7 +73,8 @@
 	return n
 }
 
-// TestStorm: such ends accuse no request, and cost little.
+// TestStorm checks that the simultaneous crash of all engines of a zone puts no request under
+// quarantine, and that the routers exchange little data because of it.
 func TestStorm(t *testing.T) {
 	cases := map[string]int{"8 routers": 8, "91": 91, "295": 295}
 	for name, n := range cases {
@@ -85,7 +86,7 @@
 			keys := s.storm()
 			held, seconds := 0, int(stormTime/time.Second)
 			most := stormBytes * n * seconds
-			// What tells too much already is not played to its end.
+			// Stops early if far too much was sent already.
 			for began := f.now; f.now-began < stormTime && s.bytes <= 2*most; {
 				f.run(50 * time.Millisecond)
 				held = max(held, s.heldBack(keys))
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,6 +1,6 @@
-// Package routing holds what operators have configured: which route a
-// request takes, which service answers it and which organisation a key
-// belongs to. A table is immutable; a new configuration makes a new one.
+// Package routing holds the operators' configuration: the routes that requests match, the
+// services that answer them, and the organisations that API keys belong to. A table is
+// immutable. A new configuration makes a new table.
 package routing
 
 import (
@@ -12,31 +12,31 @@
 	"github.com/pkg/errors"
 )
 
-// ErrInvalid means that a configuration contradicts itself.
+// ErrInvalid means that a configuration is not consistent.
 var ErrInvalid = errors.New("invalid routing configuration")
 
-// Kind says whether a route's requests may be repeated.
+// Kind says whether the requests of a route may be retried.
 type Kind int
 
 // The kinds of routes.
 const (
-	// NonIdempotent requests may reach one target at most once.
+	// NonIdempotent requests may reach at most one target, once.
 	NonIdempotent Kind = iota
-	// Idempotent requests may be sent again after any failure.
+	// Idempotent requests may be retried after any failure.
 	Idempotent
-	// Streaming requests are answered with events. They are repeated only by
-	// resuming, and only on resumable routes.
+	// Streaming requests are answered with a stream of events. They are retried only by
+	// resuming the stream, and only on resumable routes.
 	Streaming
 )
 
-// Share is a part of a route's requests that goes to one service.
+// Share is the fraction of a route's requests that goes to one service.
 type Share struct {
 	Service string
-	// Weight is relative to the route's other shares.
+	// Weight is relative to the weights of the route's other shares.
 	Weight int
 }
 
-// Route says where requests with a host and a path prefix go.
+// Route maps requests with a host and a path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
@@ -44,33 +44,32 @@
 	Kind   Kind
 	// Shares has at least one element.
 	Shares []Share
-	// MaxAttempts is the most targets that one request may be sent to.
+	// MaxAttempts is the maximum number of targets that one request may be sent to.
 	MaxAttempts int
-	// Timeout is the longest time that a request may be held.
+	// Timeout is the maximum duration of a request, queueing included.
 	Timeout time.Duration
-	// Goal is the time to the answer, or to its first event, that callers aim
-	// for.
+	// Goal is the intended latency to the answer, or to its first event.
 	Goal time.Duration
-	// MaxPause is the longest pause between events that callers aim for.
+	// MaxPause is the intended upper bound of the time between two events of a stream.
 	MaxPause time.Duration
-	// Priority is the route's rank, 0 the highest.
+	// Priority is the route's priority, 0 the highest.
 	Priority int
-	// Public routes need no key.
+	// Public routes require no API key.
 	Public bool
-	// Sticky routes name the shared parts of their prompts.
+	// Sticky routes have requests that name their shared prompt prefixes.
 	Sticky bool
-	// Resumable streams may be continued at another engine.
+	// Resumable streams may be continued by another engine after a failure.
 	Resumable bool
 }
 
-// Repeatable reports whether a request of the route may run again after it
-// may have run, from its beginning or from where it broke off.
+// Repeatable reports whether a request of the route that may have run already may be retried,
+// from the start or from where its stream broke off.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// Service returns the service for the request with the given id, by weight.
-// The same id always gets the same service.
+// Service chooses the service for the request with the given id, by weight. The same id always
+// gets the same service.
 func (r *Route) Service(id string) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
@@ -97,43 +96,43 @@
 // Service is a group of targets that answer the same requests.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections to one target, from all callers.
+	// MaxConnections bounds the connections to one target, from all callers together.
 	MaxConnections int
-	// ColdRate is the number of requests a second that a target bears while it is cold, 0
-	// for one that never is; ColdTime is for how long it is cold after a start.
+	// ColdRate is the number of requests per second that a target can take while it is cold, 0
+	// if it never is. ColdTime is how long it is cold after its start.
 	ColdRate float64
 	ColdTime time.Duration
-	// Engine is nil for plain services.
+	// Engine is nil for a plain service.
 	Engine *Engine
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is the number of requests that an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// CacheTokens is an engine's memory for prompts and answers, in tokens.
+	// CacheTokens is the size of an engine's KV cache for prompts and answers, in tokens.
 	CacheTokens int
 }
 
-// Limits bound what callers may send and use.
+// Limits bounds what callers may send and use.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
-	// TokensPerSecond is what the engines produce together, a token read
-	// counted once and a token made twice.
+	// TokensPerSecond is the throughput of all engines together, where a prompt token counts
+	// once and a generated one twice.
 	TokensPerSecond float64
 }
 
-// Organisation is who pays for requests.
+// Organisation is a tenant, to which requests are charged.
 type Organisation struct {
 	Name     string
 	Keys     []string
 	Priority int
 }
 
-// Spec is what a table is made from.
+// Spec holds the contents of a table.
 type Spec struct {
 	Version       int64
 	Routes        []Route
@@ -150,7 +149,7 @@
 	keys          map[string]string
 	organisations int
 	limits        Limits
-	// goals has the shortest goal of the routes to each service.
+	// goals maps each service to the shortest goal of its routes.
 	goals map[string]time.Duration
 }
 
@@ -201,7 +200,7 @@
 	return nil
 }
 
-// Version returns the operators' number of the configuration.
+// Version returns the version number that the operators gave the configuration.
 func (t *Table) Version() int64 { return t.version }
 
 // Limits returns the bounds on callers.
@@ -210,7 +209,7 @@
 // Organisations returns the number of organisations.
 func (t *Table) Organisations() int { return t.organisations }
 
-// Lookup returns the route with the longest prefix of path at host.
+// Lookup returns the route for host whose prefix is the longest one that matches path.
 func (t *Table) Lookup(host, path string) (*Route, bool) {
 	routes := t.routes[strings.ToLower(host)]
 	if routes == nil {
@@ -226,21 +225,21 @@
 	return nil, false
 }
 
-// Service returns the service of that name.
+// Service returns the service with a name.
 func (t *Table) Service(name string) (Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// ShortestGoal returns the shortest goal of the routes to a service; 0 if none
-// has one.
+// ShortestGoal returns the shortest goal of the routes to a service, 0 if none of them has a
+// goal.
 func (t *Table) ShortestGoal(service string) time.Duration { return t.goals[service] }
 
-// Holder returns the organisation that holds a key.
+// OrganisationOf returns the organisation that an API key belongs to.
 func (t *Table) Holder(key string) (string, bool) {
 	name, ok := t.keys[key]
 	return name, ok
 }
 
-// NeedsKey reports whether a request on r must carry a key.
+// NeedsKey reports whether a request for r must carry an API key.
 func (t *Table) NeedsKey(r *Route) bool { return t.organisations > 0 && !r.Public }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -11,7 +11,7 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// naive finds the longest prefix by looking at all routes.
+// longestPrefix finds the longest matching prefix by linear search.
 func naive(routes []routing.Route, host, path string) string {
 	best := ""
 	for _, r := range routes {
@@ -22,7 +22,7 @@
 	return best
 }
 
-// TestLookup compares the table with a naive search.
+// TestLookup compares Lookup with a linear search.
 func TestLookup(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		piece := rapid.SampledFrom([]string{"a/", "b/", "aa/", "/"})
