--- a/internal/balance/bench_test.go
+++ b/internal/balance/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/stepcroft/stepcroft/internal/view"
 )
 
-// BenchmarkFlood measures the control thread's work for one request of an
-// organisation that floods a router of a large fleet, and for its refusal.
+// BenchmarkFlood measures the work of the control goroutine for a request of an organisation
+// that floods a router of a large fleet, and for its refusal.
 func BenchmarkFlood(b *testing.B) {
 	for name, routers := range map[string]int{"6 routers": 6, "58 routers": 58} {
 		b.Run(name, func(b *testing.B) {
@@ -21,12 +21,12 @@
 				for r := range routers {
 					report := view.Report{Loads: map[string]view.Load{}, Usage: map[string]view.Usage{}}
 					for i := range 60 {
-						report.Loads[fmt.Sprint("e", i)] = view.Load{Unread: 200, Running: 1}
+						report.Loads[fmt.Sprint("e", i)] = view.Load{PendingTokens: 200, Running: 1}
 					}
 					for i := range 30 {
-						report.Usage[fmt.Sprint("o", i)] = view.Usage{Asked: 1000, Begun: 1000}
+						report.Usage[fmt.Sprint("o", i)] = view.Usage{Demand: 1000, Started: 1000}
 					}
-					w.Heard(w.now, fmt.Sprint("r", r), report)
+					w.ApplyReport(w.now, fmt.Sprint("r", r), report)
 				}
 			}
 			hear()
--- a/internal/forward/advice_internal_test.go
+++ b/internal/forward/advice_internal_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestRestOf(t *testing.T) {
+func TestParseRetryAfter(t *testing.T) {
 	const date = "Sun, 06 Nov 1994 08:49:37 GMT"
 	cases := map[string]time.Duration{
 		"":                              0,
@@ -23,7 +23,7 @@
 	for value, want := range cases {
 		t.Run(value, func(t *testing.T) {
 			h := http.Header{"Date": {date}, "Retry-After": {value}}
-			if got := restOf(h); got != want {
+			if got := parseRetryAfter(h); got != want {
 				t.Errorf("rest %v, want %v", got, want)
 			}
 		})
--- a/internal/forward/coalesce_test.go
+++ b/internal/forward/coalesce_test.go
@@ -21,13 +21,13 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// pieces is a caller that keeps what it is sent, piece by piece.
-type pieces struct {
-	ignored
+// recordingCaller is a caller that records each call of Write.
+type recordingCaller struct {
+	discard
 	list []string
 }
 
-func (p *pieces) Write(b []byte) error {
+func (p *recordingCaller) Write(b []byte) error {
 	p.list = append(p.list, string(bytes.Clone(b)))
 	return nil
 }
@@ -35,8 +35,8 @@
 var _ = Describe("A stream", func() {
 	const length, gap = 24, 10 * time.Millisecond
 
-	// ask sends a request to a stream of events, at a router that uses a part of its
-	// processor, and returns the pieces of the answer.
+	// ask requests a stream of events from a router that uses the fraction busy of its
+	// processor, and returns the pieces in which the answer arrives.
 	ask := func(busy float64) []string {
 		g := group.New(context.Background())
 		DeferCleanup(g.Stop)
@@ -53,13 +53,13 @@
 		g.GoContext(loop.Run)
 		loop.Post(func(s *balance.State, now time.Time) {
 			s.SetTargets(now, []balance.Target{{ID: "e", Service: "s", Zone: "z", Slots: 4, Address: engine.Listener.Addr().String()}})
-			s.SetBusy(now, busy, 1)
+			s.SetCPUUtilisation(now, busy, 1)
 		})
 		if busy > 0 {
 			Eventually(loop.Coalesce).Should(BeNumerically(">", 0))
 		}
-		f := forward.New(forward.Dialect{RequestID: "X-Id", Deadline: "X-Wait-Ms", ExpectTarget: "X-Expect"}, httptarget.New(g), loop, trusting{}, logr.Discard(), ignored{})
-		caller := &pieces{}
+		f := forward.New(forward.Dialect{RequestID: "X-Id", Deadline: "X-Wait-Ms", ExpectTarget: "X-Expect"}, httptarget.New(g), loop, noSuspects{}, logr.Discard(), discard{})
+		caller := &recordingCaller{}
 		v := f.Forward(context.Background(), forward.Request{
 			ID: "r", Method: http.MethodPost, Target: "/", Host: "h", Service: "s", Arrived: time.Now(), Deadline: time.Now().Add(10 * time.Second),
 			Route: &routing.Route{Kind: routing.Streaming, Goal: time.Second, MaxPause: 400 * time.Millisecond, MaxAttempts: 1},
@@ -76,14 +76,14 @@
 		return b.String()
 	}
 
-	It("lets events come together at a router that is short of processor time, all but the first", func() {
+	It("forwards events in batches when the router is short of processor time, but the first at once", func() {
 		got := ask(1)
 		Expect(strings.Join(got, "")).To(Equal(events(length)))
 		Expect(got[0]).To(Equal(events(1)))
 		Expect(len(got)).To(BeNumerically("<=", length/2))
 	})
 
-	It("passes events on as they come at any other", func() {
+	It("forwards each event as it arrives otherwise", func() {
 		got := ask(0)
 		Expect(strings.Join(got, "")).To(Equal(events(length)))
 		Expect(len(got)).To(BeNumerically(">", length/2))
--- a/internal/forward/suspects.go
+++ b/internal/forward/suspects.go
@@ -9,102 +9,107 @@
 	"github.com/stepcroft/stepcroft/internal/quarantine"
 )
 
-// Suspects knows the requests under which targets ended.
+// Suspects tracks the requests suspected of crashing targets: those that a target was
+// running when its process exited.
 type Suspects interface {
-	// View returns what is suspected now; nil if nothing is.
+	// View returns the requests suspected now, or nil if there are none.
 	View() *quarantine.View
-	// Broke notes that a target broke off its answer to a request. It returns the number
-	// of targets that ended under the request.
-	Broke(ctx context.Context, b Break) int
-	// Try reports whether a request that is held back may be sent on trial until a time,
-	// and Tried notes that this is over.
-	Try(ctx context.Context, k quarantine.Key, until time.Time) bool
-	Tried(k quarantine.Key)
-	// Ended notes that the process of a target has ended.
-	Ended(t balance.Target)
-	// Cleared notes that a suspected request has ended well.
-	Cleared(k quarantine.Key)
-	// Seen notes that a request which is held back has come again.
-	Seen(k quarantine.Key)
+	// RecordBreak records that a target broke off its answer to a request. It returns the
+	// number of targets that have exited while running the request.
+	RecordBreak(ctx context.Context, b Break) int
+	// StartTrial reports whether a quarantined request may be sent on trial. The trial ends
+	// with EndTrial, and at the latest at until.
+	StartTrial(ctx context.Context, k quarantine.Key, until time.Time) bool
+	EndTrial(k quarantine.Key)
+	// RecordExit records that the process of a target has exited.
+	RecordExit(t balance.Target)
+	// RecordSuccess records that a target has run a suspected request to its end.
+	RecordSuccess(k quarantine.Key)
+	// RecordSeen records that a quarantined request has been received again.
+	RecordSeen(k quarantine.Key)
 }
 
-// Break says that a target broke off its answer to a request.
+// Break describes an answer that a target broke off.
 type Break struct {
 	Key          quarantine.Key
 	Organisation string
 	Target       balance.Target
-	// Ended is set where the target's process is known to have ended, Trial where the
-	// request was sent although others had ended under it.
-	Ended, Trial bool
+	// TargetExited is set if the target's process is known to have exited. OnTrial is set if
+	// the request was sent although other targets had crashed while running it.
+	TargetExited, OnTrial bool
 }
 
-// key returns what is asked, by which repeats are known whatever their ids.
-func (x *run) key() quarantine.Key {
-	if x.content == nil {
+// key identifies the request by its content, so that repeats with other ids are recognised.
+func (x *inflight) key() quarantine.Key {
+	if x.contentKey == nil {
 		k := quarantine.KeyOf(x.Organisation, x.Method, x.Target, x.Body)
-		x.content = &k
+		x.contentKey = &k
 	}
-	return *x.content
+	return *x.contentKey
 }
 
-// heldBack refuses the request if it ended engines before: sent on, the same one of a
-// caller that repeats it ended 38 to 44 engines in 10 s, with all that ran there. While
-// nothing is suspected anywhere it costs a look at a pointer.
-func (x *run) heldBack(ctx context.Context) bool {
+// refuseQuarantined refuses the request and returns true if the request is quarantined.
+// Without this, one request that a caller kept repeating crashed 38 to 44 engines in 10 s,
+// together with everything else they ran. It costs one pointer comparison while nothing is
+// suspected.
+func (x *inflight) refuseQuarantined(ctx context.Context) bool {
 	v := x.suspects.View()
 	if v == nil {
 		return false
 	}
 	now, k := clock.Now(), x.key()
 	left := v.Held(now, k)
-	if left == 0 && x.mayTry(ctx, v.Crashes(k)) {
+	if left == 0 && x.maySendSuspect(ctx, v.Crashes(k)) {
 		return false
 	}
 	if v.Stale(now, k) {
-		x.suspects.Seen(k)
+		x.suspects.RecordSeen(k)
 	}
 	x.verdict.Content = k.String()
 	if left == 0 {
-		left = trialAfter
+		left = trialRetryAfter
 	}
 	x.refuse(ReasonQuarantined, left)
 	return true
 }
 
-// trialAfter is when to come back while another router has the request on trial, or will.
-const trialAfter = 5 * time.Second
+// trialRetryAfter is the Retry-After of a quarantined request that may be sent on trial, but not
+// now or not by this router.
+const trialRetryAfter = 5 * time.Second
 
-// mayTry reports whether the request may be sent after so many crashes.
-func (x *run) mayTry(ctx context.Context, crashes int) bool {
-	if !quarantine.Holds(crashes) || x.trial {
-		x.trial = !quarantine.MayRepeat(crashes)
+// maySendSuspect reports whether the request may be sent although targets have crashed while
+// running it. From a certain number of crashes on it may be sent only on trial, by one router
+// at a time.
+func (x *inflight) maySendSuspect(ctx context.Context, crashes int) bool {
+	if !quarantine.Holds(crashes) || x.onTrial {
+		x.onTrial = !quarantine.MayRepeat(crashes)
 		return true
 	}
-	x.trial = x.suspects.Try(ctx, x.key(), x.deadline)
-	return x.trial
+	x.onTrial = x.suspects.StartTrial(ctx, x.key(), x.deadline)
+	return x.onTrial
 }
 
-// crashed notes that a target broke off its answer or fell silent, and returns whether too
-// many targets have ended under the request for the router to send it again by itself.
-func (x *run) crashed(ctx context.Context, to balance.Target, f *failure) bool {
+// reportBreak reports a broken-off answer or a silent target to the suspects. It returns true if
+// so many targets have exited while running the request that the router must not retry it.
+func (x *inflight) reportBreak(ctx context.Context, to balance.Target, f *failure) bool {
 	ended := false
 	switch f.reason {
 	case ReasonRestarted:
 		ended = true
 	case ReasonBroken:
-		ended = x.sender.Ended(ctx, to.Address, to.Incarnation())
+		ended = x.sender.ProcessExited(ctx, to.Address, to.Incarnation())
 	case ReasonSilent:
-		// It may turn out to have ended.
+		// The process may have exited; that is found out later.
 	default:
 		return false
 	}
-	crashes := x.suspects.Broke(ctx, Break{Key: x.key(), Organisation: x.Organisation, Target: to, Ended: ended, Trial: x.trial})
+	crashes := x.suspects.RecordBreak(ctx, Break{Key: x.key(), Organisation: x.Organisation, Target: to, TargetExited: ended, OnTrial: x.onTrial})
 	return !quarantine.MayRepeat(crashes)
 }
 
-// survived notes that a target has run the request to its end.
-func (x *run) survived() {
+// clearSuspicion clears the suspicion against a request that a target has run to its end.
+func (x *inflight) clearSuspicion() {
 	if x.suspects.View().Crashes(x.key()) > 0 {
-		x.suspects.Cleared(x.key())
+		x.suspects.RecordSuccess(x.key())
 	}
 }
