--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -303,7 +303,7 @@
 	}
 	out.Route = route
 	if t.NeedsKey(route) {
-		if out.Organisation, ok = t.Holder(bearer(authorization)); !ok {
+		if out.Organisation, ok = t.OrganisationOf(bearer(authorization)); !ok {
 			return refused(http.StatusUnauthorized, ReasonUnauthorized, 0)
 		}
 	}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -236,7 +236,7 @@
 func (t *Table) ShortestGoal(service string) time.Duration { return t.goals[service] }
 
 // OrganisationOf returns the organisation that an API key belongs to.
-func (t *Table) Holder(key string) (string, bool) {
+func (t *Table) OrganisationOf(key string) (string, bool) {
 	name, ok := t.keys[key]
 	return name, ok
 }
