--- a/internal/gateway/awake.go
+++ b/internal/gateway/awake.go
@@ -23,7 +23,7 @@
 func (g *Gateway) awake(_ *balance.State, now time.Time, missed time.Duration) {
 	g.Log.Info("box was suspended", "missed_ms", missed.Milliseconds(), "open", g.server.Open())
 	g.Metrics.suspended(missed)
-	g.roster.Awake(now)
+	g.roster.Resume(now)
 	g.cold.Join(now)
 	g.transport.Close()
 	if missed >= confirmFrom {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -25,7 +25,7 @@
 	g.loop.Post(func(s *balance.State, now time.Time) {
 		switch m := m.(type) {
 		case message.Ping:
-			g.send(g.roster.Take(now, m))
+			g.send(g.roster.Receive(now, m))
 			g.catchUp(now, from, m.Revisions)
 			g.compareSuspects(now, from, m.Quarantine)
 			g.confirmedBy(now, m)
@@ -47,7 +47,7 @@
 		case message.Quarantine:
 			g.heardSuspects(now, from, m)
 		}
-		g.roster.Heard(now, from.ID)
+		g.roster.NoteContact(now, from.ID)
 	})
 }
 
@@ -215,7 +215,7 @@
 
 // SetRouters takes over the store's list of routers.
 func (g *Gateway) SetRouters(list []config.Box) {
-	g.loop.Post(func(_ *balance.State, now time.Time) { g.roster.Listed(now, list) })
+	g.loop.Post(func(_ *balance.State, now time.Time) { g.roster.SetList(now, list) })
 }
 
 const (
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -146,7 +146,7 @@
 		period += sumPeriod
 	}
 	s.SetReportPeriod(period)
-	s.SetPeers(g.roster.Others(now), len(serving))
+	s.SetPeers(g.roster.CountOthers(now), len(serving))
 }
 
 // relays reports whether this router tells the sum of its zone. One that does not
@@ -226,21 +226,21 @@
 
 // say tells the roster how this router is.
 func (g *Gateway) say() {
-	g.roster.Say(message.RouterRecord{
+	g.roster.UpdateSelf(message.RouterRecord{
 		Ready: g.server.Ready(), Leaving: g.leaving, Serving: g.reporter.serving,
 		StoreTrouble: !g.trouble.IsZero(), Capacity: g.Capacity,
 	})
-	g.roster.Have(g.catalog.Newest(), g.isolation.state.Digest())
+	g.roster.SetRevisions(g.catalog.Newest(), g.isolation.state.Digest())
 }
 
 // spread tells some other routers at once what is new, who do the same.
 func (g *Gateway) spread(now time.Time) {
 	g.say()
-	g.send(g.roster.Spread(now))
+	g.send(g.roster.Gossip(now))
 }
 
 // send sends what the roster says.
-func (g *Gateway) send(list []roster.Send) {
+func (g *Gateway) send(list []roster.Outgoing) {
 	for _, s := range list {
 		g.tell(member.Member{Peer: s.Peer}, s.Ping)
 	}
--- a/internal/roster/detect.go
+++ b/internal/roster/detect.go
@@ -9,7 +9,7 @@
 
 // Tick returns the messages that are due: retries and periodic pings, and queued updates. It
 // also advances suspicions. Call it every few tens of milliseconds.
-func (r *Roster) Tick(now time.Time) []Send {
+func (r *Roster) Tick(now time.Time) []Outgoing {
 	out := r.retryPings(now)
 	r.expireSuspects(now)
 	if now.Sub(r.lastPing) >= r.period() {
@@ -17,7 +17,7 @@
 		out = append(out, r.pingNext(now)...)
 	}
 	if len(r.updates) > 0 {
-		out = append(out, r.Spread(now)...)
+		out = append(out, r.Gossip(now)...)
 	}
 	return out
 }
@@ -32,7 +32,7 @@
 
 // Gossip returns messages that forward the queued updates, and this router's revisions, to
 // a few random routers.
-func (r *Roster) Spread(now time.Time) []Send {
+func (r *Roster) Gossip(now time.Time) []Outgoing {
 	var records []message.RouterRecord
 	for _, id := range r.updates {
 		if e := r.peers[id]; e != nil {
@@ -45,12 +45,12 @@
 		// Without updates, a message still carries this router's own record.
 		parts = append(parts, nil)
 	}
-	var out []Send
+	var out []Outgoing
 	for _, to := range r.gossipPeers(now, len(parts) > 1) {
 		for _, part := range parts {
 			m := r.ping(message.PingNotice, false)
 			m.Records = part
-			out = append(out, Send{Peer: to, Ping: m})
+			out = append(out, Outgoing{Peer: to, Ping: m})
 		}
 	}
 	return out
@@ -98,8 +98,8 @@
 
 // retryPings handles pings that timed out: it pings the router again, or suspects it after
 // pingAttempts.
-func (r *Roster) retryPings(now time.Time) []Send {
-	var out []Send
+func (r *Roster) retryPings(now time.Time) []Outgoing {
+	var out []Outgoing
 	unanswered := r.unanswered
 	r.unanswered = nil
 	for _, id := range unanswered {
@@ -158,10 +158,10 @@
 // at whose addresses no running router is known, to join separate groups of routers that know
 // only one another. While this router is isolated, it pings the seeds every time, since all
 // the routers that it knows may be gone for good.
-func (r *Roster) pingNext(now time.Time) []Send {
+func (r *Roster) pingNext(now time.Time) []Outgoing {
 	r.forget(now)
 	r.pingCount++
-	var out []Send
+	var out []Outgoing
 	e := r.next(now)
 	if e != nil {
 		out = append(out, r.pingPeer(now, e))
@@ -171,7 +171,7 @@
 	}
 	for _, peer := range r.seeds {
 		if !r.runsAt(now, peer) {
-			out = append(out, Send{Peer: peer, Ping: r.ping(message.PingAsk, false)})
+			out = append(out, Outgoing{Peer: peer, Ping: r.ping(message.PingAsk, false)})
 		}
 	}
 	return out
@@ -185,7 +185,7 @@
 	})
 }
 
-func (r *Roster) pingPeer(now time.Time, e *entry) Send {
+func (r *Roster) pingPeer(now time.Time, e *entry) Outgoing {
 	e.pingedAt = now
 	r.unanswered = append(r.unanswered, e.ID)
 	m := r.ping(message.PingAsk, false)
@@ -193,7 +193,7 @@
 		// Tells the router that it is suspected or gone, so that it can refute this.
 		m.Records = []message.RouterRecord{e.RouterRecord}
 	}
-	return Send{Peer: e.Peer, Ping: m}
+	return Outgoing{Peer: e.Peer, Ping: m}
 }
 
 // next returns the router to ping next, nil if there is none.
--- a/internal/roster/known.go
+++ b/internal/roster/known.go
@@ -83,7 +83,7 @@
 }
 
 // CountOthers returns the number of other routers that count as running.
-func (r *Roster) Others(now time.Time) int {
+func (r *Roster) CountOthers(now time.Time) int {
 	n := 0
 	for range r.runningPeers(now) {
 		n++
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -71,7 +71,7 @@
 )
 
 // Outgoing is a message to be sent to a router's Peer address.
-type Send struct {
+type Outgoing struct {
 	Peer string
 	Ping message.Ping
 }
@@ -165,7 +165,7 @@
 // UpdateSelf sets the conditions in the local router's record (Ready, Leaving, Serving,
 // StoreTrouble and Capacity) to those of a record, whose other fields are ignored. It reports
 // whether any of them changed, and queues the new record for the other routers.
-func (r *Roster) Say(record message.RouterRecord) bool {
+func (r *Roster) UpdateSelf(record message.RouterRecord) bool {
 	next := r.self
 	next.Ready, next.Leaving, next.Serving = record.Ready, record.Leaving, record.Serving
 	next.StoreTrouble, next.Capacity = record.StoreTrouble, record.Capacity
@@ -179,12 +179,12 @@
 
 // SetRevisions sets what pings say about the data of this router: the revisions of its copy
 // of the store's entries, and the digest of what it knows of requests that crashed targets.
-func (r *Roster) Have(revisions message.Revisions, quarantineDigest uint64) {
+func (r *Roster) SetRevisions(revisions message.Revisions, quarantineDigest uint64) {
 	r.revisions, r.quarantineDigest = revisions, quarantineDigest
 }
 
 // SetList replaces the platform's list of routers.
-func (r *Roster) Listed(now time.Time, boxes []config.Box) {
+func (r *Roster) SetList(now time.Time, boxes []config.Box) {
 	r.listReceived = true
 	for _, e := range r.peers {
 		e.listed = false
@@ -218,7 +218,7 @@
 }
 
 // NoteContact notes that a message other than a ping arrived from another router.
-func (r *Roster) Heard(now time.Time, id message.RouterID) {
+func (r *Roster) NoteContact(now time.Time, id message.RouterID) {
 	r.lastHeard = now
 	if e := r.peers[id]; e != nil {
 		r.markHeard(now, e)
@@ -233,7 +233,7 @@
 }
 
 // Receive processes a ping message and returns the messages to send in response.
-func (r *Roster) Take(now time.Time, m message.Ping) []Send {
+func (r *Roster) Receive(now time.Time, m message.Ping) []Outgoing {
 	if m.From.ID == r.self.ID {
 		return nil
 	}
@@ -249,12 +249,12 @@
 	for _, record := range m.Records {
 		r.merge(now, record)
 	}
-	var out []Send
+	var out []Outgoing
 	if m.Kind == message.PingAsk {
 		out = append(out, r.answer(e, m)...)
 	}
 	if r.startSync(now, e, m.Digest, firstContact) {
-		out = append(out, Send{Peer: e.Peer, Ping: r.ping(message.PingAsk, true)})
+		out = append(out, Outgoing{Peer: e.Peer, Ping: r.ping(message.PingAsk, true)})
 	}
 	return out
 }
@@ -262,7 +262,7 @@
 // Resume must be called after the box was suspended. It drops the outstanding pings, since a
 // missing answer says nothing about the pinged router, and restarts the suspicion timeouts,
 // since refutations could not arrive meanwhile.
-func (r *Roster) Awake(now time.Time) {
+func (r *Roster) Resume(now time.Time) {
 	for _, id := range r.unanswered {
 		if e := r.peers[id]; e != nil {
 			e.pingedAt, e.missedPings = time.Time{}, 0
@@ -284,7 +284,7 @@
 // answer returns the answer to a ping. It holds the record of the sender if the one known here
 // is newer than the sender's own, for the sender to refute, and all other records if the sender
 // requests a full sync.
-func (r *Roster) answer(e *entry, m message.Ping) []Send {
+func (r *Roster) answer(e *entry, m message.Ping) []Outgoing {
 	all := []message.RouterRecord{}
 	if supersedes(e.RouterRecord, m.From) {
 		all = append(all, e.RouterRecord)
@@ -296,10 +296,10 @@
 			}
 		}
 	}
-	out := []Send{{Peer: m.From.Peer, Ping: r.ping(message.PingAnswer, false)}}
+	out := []Outgoing{{Peer: m.From.Peer, Ping: r.ping(message.PingAnswer, false)}}
 	for i, part := range chunks(all) {
 		if i > 0 {
-			out = append(out, Send{Peer: m.From.Peer, Ping: r.ping(message.PingNotice, false)})
+			out = append(out, Outgoing{Peer: m.From.Peer, Ping: r.ping(message.PingNotice, false)})
 		}
 		out[i].Ping.Records = part
 	}
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -135,7 +135,7 @@
 	f.after(beat, func() { f.tick(r, life) })
 }
 
-func (f *fleet) send(from *router, list []roster.Send) {
+func (f *fleet) send(from *router, list []roster.Outgoing) {
 	for _, s := range list {
 		from.sent++
 		from.records += len(s.Ping.Records)
@@ -146,7 +146,7 @@
 		delay := trip + time.Duration(f.random.Int64N(int64(trip)))
 		f.after(delay, func() {
 			if to.runs {
-				f.send(to, to.Take(f.time(), s.Ping))
+				f.send(to, to.Receive(f.time(), s.Ping))
 			}
 		})
 	}
@@ -247,7 +247,7 @@
 			f.run(length)
 			for _, r := range sleepers {
 				r.runs = true
-				r.Awake(f.time())
+				r.Resume(f.time())
 				f.tick(r, r.life)
 			}
 			f.run(2 * time.Second)
@@ -325,7 +325,7 @@
 		f.run(5 * time.Second)
 		f.stop(f.routers[3])
 		f.launch(50, f.routers[3])
-		f.routers[3].Say(message.RouterRecord{Capacity: 7})
+		f.routers[3].UpdateSelf(message.RouterRecord{Capacity: 7})
 		f.run(3 * time.Second)
 		for _, r := range f.routers {
 			Expect(r.Live(f.time())).To(ContainElement(And(
@@ -345,7 +345,7 @@
 			}
 			return n
 		}
-		f.routers[17].Say(message.RouterRecord{Serving: true})
+		f.routers[17].UpdateSelf(message.RouterRecord{Serving: true})
 		f.run(300 * time.Millisecond)
 		Expect(told()).To(BeNumerically(">", 290))
 		f.run(2 * time.Second)
@@ -398,14 +398,14 @@
 			}
 			return list
 		}
-		r.Take(now, message.Ping{From: b})
+		r.Receive(now, message.Ping{From: b})
 		Expect(beliefs()).To(Equal([]message.Belief{message.Alive}))
 		b.Version = 2
-		r.Take(now, message.Ping{From: b})
+		r.Receive(now, message.Ping{From: b})
 		Expect(beliefs()).To(BeEmpty())
 		other := message.RouterRecord{ID: "c", Peer: "c:1", Incarnation: 1, Version: 1}
 		b.Belief = message.Gone
-		r.Take(now, message.Ping{From: other, Records: []message.RouterRecord{b}})
+		r.Receive(now, message.Ping{From: other, Records: []message.RouterRecord{b}})
 		Expect(beliefs()).To(Equal([]message.Belief{message.Alive, message.Gone}))
 	})
 
@@ -416,7 +416,7 @@
 			Expect(s.Peer).To(Equal("b:1"))
 		}
 		now = now.Add(time.Second)
-		r.Listed(now, []config.Box{{Name: "a", Peer: "a:1"}, {Name: "c", Peer: "c:1"}})
+		r.SetList(now, []config.Box{{Name: "a", Peer: "a:1"}, {Name: "c", Peer: "c:1"}})
 		Expect(r.Tick(now)).To(ContainElement(HaveField("Peer", "c:1")))
 		Expect(r.Live(now)).To(HaveLen(2))
 		now = now.Add(2 * time.Second)
