--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -109,12 +109,12 @@
 func (c *Catalog) ConfigRevision() int64 { return c.configRevision }
 
 // TargetsRevision returns the store's revision as of which the list of targets is complete.
-func (c *Catalog) Revision() int64 { return c.targets.revision }
+func (c *Catalog) TargetsRevision() int64 { return c.targets.revision }
 
 // TargetsChanged returns the store's revision of the newest known change to the targets. A
 // router whose list is complete as of this revision or a later one lacks none of the changes
 // known here.
-func (c *Catalog) Changed() int64 { return c.targets.changed }
+func (c *Catalog) TargetsChanged() int64 { return c.targets.changed }
 
 // Newest returns the revisions of the newest known changes. A router whose data is complete as
 // of these revisions or later ones lacks none of the changes known here.
@@ -129,7 +129,7 @@
 
 // MarkUnstable notes that the store is in trouble: entries that disappear within maxLapse from
 // now may belong to healthy targets.
-func (c *Catalog) Unstable(now time.Time) { c.unstableUntil = now.Add(c.maxLapse) }
+func (c *Catalog) MarkUnstable(now time.Time) { c.unstableUntil = now.Add(c.maxLapse) }
 
 // unstableFor returns the rest of the unstableFor period, 0 if there is none.
 func (c *Catalog) unstableFor(now time.Time) time.Duration { return max(c.unstableUntil.Sub(now), 0) }
@@ -163,7 +163,7 @@
 }
 
 // ConfigDiffers reports whether a configuration differs from the one in force.
-func (c *Catalog) Differs(config []byte) bool {
+func (c *Catalog) ConfigDiffers(config []byte) bool {
 	return c.table != nil && !bytes.Equal(config, c.config)
 }
 
@@ -180,7 +180,7 @@
 }
 
 // ApplyTargets applies changes to the list of targets, which are complete up to revision.
-func (c *Catalog) Apply(now time.Time, revision int64, changes []Change) {
+func (c *Catalog) ApplyTargets(now time.Time, revision int64, changes []Change) {
 	c.updateEntries(now, c.targets.apply(revision, changes))
 }
 
@@ -268,7 +268,7 @@
 // most entries have lapsed, the store was unavailable, and all are kept until the unstable period
 // ends. Otherwise an entry's own deadline counts, so that further trouble between this router
 // and the store doesn't keep targets in use that have left.
-func (c *Catalog) Expire(now time.Time) []string {
+func (c *Catalog) ExpireLapsed(now time.Time) []string {
 	if c.mostLapsed() && now.Before(c.unstableUntil) {
 		return nil
 	}
@@ -348,7 +348,7 @@
 
 // Merge merges another router's copy of the targets and drained zones. It returns false if that
 // brought nothing new.
-func (c *Catalog) Take(now time.Time, m message.Copy) bool {
+func (c *Catalog) Merge(now time.Time, m message.Copy) bool {
 	if (c.targets.accepts(m.Targets) || c.zones.accepts(m.Zones)) && m.Unstable > c.unstableFor(now) {
 		c.unstableUntil = now.Add(m.Unstable)
 	}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -101,19 +101,19 @@
 			},
 			"watch": func(t *rapid.T) {
 				c := which()
-				from := int64(rapid.IntRange(0, int(c.Revision())).Draw(t, "from"))
+				from := int64(rapid.IntRange(0, int(c.TargetsRevision())).Draw(t, "from"))
 				to := max(revision(), from)
-				c.Apply(now, to, slices.Clone(h.events[from:to]))
+				c.ApplyTargets(now, to, slices.Clone(h.events[from:to]))
 				noneIgnored(t, c)
 			},
 			"copy": func(t *rapid.T) {
 				i := rapid.IntRange(0, 1).Draw(t, "to")
 				to, from := pair[i], pair[1-i]
-				m := from.Copy(now, message.NeedCopy{Config: to.ConfigRevision(), Targets: to.Revision()})
-				to.Take(now, m)
+				m := from.Copy(now, message.NeedCopy{Config: to.ConfigRevision(), Targets: to.TargetsRevision()})
+				to.Merge(now, m)
 				noneIgnored(t, to)
-				if to.Revision() < from.Changed() {
-					t.Fatalf("at %d after a copy of changes up to %d", to.Revision(), from.Changed())
+				if to.TargetsRevision() < from.TargetsChanged() {
+					t.Fatalf("at %d after a copy of changes up to %d", to.TargetsRevision(), from.TargetsChanged())
 				}
 				if len(m.Config) > 0 {
 					if _, err := to.SetConfig(m.ConfigRevision, m.Config); err != nil {
@@ -133,14 +133,14 @@
 						t.Fatalf("configuration went back to %d", c.ConfigRevision())
 					}
 					configs[c] = c.ConfigRevision()
-					want := h.at(c.Revision())
+					want := h.at(c.TargetsRevision())
 					got := c.Targets()
 					if len(got) != len(want) {
-						t.Fatalf("at %d: have %v, want %v", c.Revision(), got, want)
+						t.Fatalf("at %d: have %v, want %v", c.TargetsRevision(), got, want)
 					}
 					for _, target := range got {
 						if string(want[target.ID].Value) != target.Address {
-							t.Fatalf("at %d: have %v, want %v", c.Revision(), target, want[target.ID])
+							t.Fatalf("at %d: have %v, want %v", c.TargetsRevision(), target, want[target.ID])
 						}
 					}
 				}
@@ -155,13 +155,13 @@
 	entry := []message.StoredObject{{Name: "a", Revision: 1, Value: []byte("x")}}
 	c.SetTargets(now, 1, entry)
 	noneIgnored(t, c)
-	c.Unstable(now)
+	c.MarkUnstable(now)
 	c.SetTargets(now, 2, nil)
 	noneIgnored(t, c)
 	if len(c.Targets()) != 1 {
 		t.Fatal("a target whose entry lapsed while the store was away is not used")
 	}
-	if len(c.Expire(now.Add(3*time.Second))) != 1 || len(c.Targets()) != 0 {
+	if len(c.ExpireLapsed(now.Add(3*time.Second))) != 1 || len(c.Targets()) != 0 {
 		t.Fatal("a target that did not come back is still used")
 	}
 	c.SetTargets(now, 3, entry)
@@ -182,14 +182,14 @@
 	}
 	take := func(to, from *catalog.Catalog) {
 		t.Helper()
-		to.Take(now, from.Copy(now, message.NeedCopy{Targets: to.Revision()}))
+		to.Merge(now, from.Copy(now, message.NeedCopy{Targets: to.TargetsRevision()}))
 		noneIgnored(t, to)
 	}
 	a.SetTargets(now, 1, []message.StoredObject{target("a", 1), target("b", 1)})
 	noneIgnored(t, a)
 	take(b, a)
-	a.Unstable(now)
-	a.Apply(now, 2, []catalog.Change{{StoredObject: target("a", 2), Gone: true}})
+	a.MarkUnstable(now)
+	a.ApplyTargets(now, 2, []catalog.Change{{StoredObject: target("a", 2), Gone: true}})
 	noneIgnored(t, a)
 	take(b, a)
 	if len(b.Targets()) != 2 {
@@ -200,11 +200,11 @@
 		now = now.Add(100 * time.Millisecond)
 		to, from := pair[revision%2], pair[1-revision%2]
 		change := catalog.Change{StoredObject: target("b", revision)}
-		from.Apply(now, revision, []catalog.Change{change})
+		from.ApplyTargets(now, revision, []catalog.Change{change})
 		noneIgnored(t, from)
 		take(to, from)
-		to.Expire(now)
-		from.Expire(now)
+		to.ExpireLapsed(now)
+		from.ExpireLapsed(now)
 	}
 	for _, c := range pair {
 		if len(c.Targets()) != 1 {
@@ -233,13 +233,13 @@
 			}
 			k.SetTargets(now, 1, list)
 			noneIgnored(t, k)
-			k.Unstable(now)
+			k.MarkUnstable(now)
 			k.SetTargets(now, 2, list[:c.left])
 			noneIgnored(t, k)
 			for range 20 {
 				now = now.Add(100 * time.Millisecond)
-				k.Unstable(now)
-				k.Expire(now)
+				k.MarkUnstable(now)
+				k.ExpireLapsed(now)
 			}
 			if got := len(k.Targets()) == 4; got != c.kept {
 				t.Errorf("entries still used after two seconds: %t, want %t", got, c.kept)
@@ -259,10 +259,10 @@
 	// Revision 3 removed the entry.
 	fresh.SetTargets(now, 3, []message.StoredObject{kept})
 	noneIgnored(t, fresh)
-	if fresh.Changed() <= old.Revision() {
-		t.Fatalf("the newest change is told as %d, known is %d", fresh.Changed(), old.Revision())
+	if fresh.TargetsChanged() <= old.TargetsRevision() {
+		t.Fatalf("the newest change is told as %d, known is %d", fresh.TargetsChanged(), old.TargetsRevision())
 	}
-	old.Take(now, fresh.Copy(now, message.NeedCopy{Targets: old.Revision()}))
+	old.Merge(now, fresh.Copy(now, message.NeedCopy{Targets: old.TargetsRevision()}))
 	noneIgnored(t, old)
 	if n := len(old.Targets()); n != 1 {
 		t.Errorf("%d targets, want the one that is left", n)
@@ -272,10 +272,10 @@
 	third.SetTargets(now, 4, []message.StoredObject{kept})
 	noneIgnored(t, third)
 	last := catalog.New(codec{}, drainPeriod, entryTTL)
-	last.Take(now, old.Copy(now, message.NeedCopy{}))
+	last.Merge(now, old.Copy(now, message.NeedCopy{}))
 	noneIgnored(t, last)
-	if last.Changed() > third.Revision() {
-		t.Errorf("a copy is told as the newest change, %d", last.Changed())
+	if last.TargetsChanged() > third.TargetsRevision() {
+		t.Errorf("a copy is told as the newest change, %d", last.TargetsChanged())
 	}
 }
 
@@ -299,14 +299,14 @@
 			k := catalog.New(codec{}, c.drain, entryTTL)
 			k.SetTargets(now, 1, []message.StoredObject{stored("a", 1)})
 			noneIgnored(t, k)
-			k.Unstable(now)
+			k.MarkUnstable(now)
 			k.SetTargets(now, 2, nil)
 			noneIgnored(t, k)
 			if c.lapse > 0 {
-				if expired := k.Expire(now.Add(c.lapse - time.Millisecond)); len(expired) > 0 {
+				if expired := k.ExpireLapsed(now.Add(c.lapse - time.Millisecond)); len(expired) > 0 {
 					t.Errorf("given up before %v", c.lapse)
 				}
-				k.Expire(now.Add(c.lapse))
+				k.ExpireLapsed(now.Add(c.lapse))
 			}
 			if n := len(k.Targets()); n > 0 {
 				t.Errorf("still used after %v", c.lapse)
@@ -322,13 +322,13 @@
 	c := catalog.New(codec{}, drainPeriod, entryTTL)
 	c.SetTargets(now, 2, []message.StoredObject{stored("stays", 1), stored("goes", 2)})
 	noneIgnored(t, c)
-	c.Unstable(now)
-	c.Apply(now.Add(1700*time.Millisecond), 3, []catalog.Change{{StoredObject: stored("goes", 3), Gone: true}})
+	c.MarkUnstable(now)
+	c.ApplyTargets(now.Add(1700*time.Millisecond), 3, []catalog.Change{{StoredObject: stored("goes", 3), Gone: true}})
 	noneIgnored(t, c)
 	if n := len(c.Targets()); n != 2 {
 		t.Fatalf("%d targets in use as an entry lapses, want 2", n)
 	}
-	if expired := c.Expire(now.Add(1900 * time.Millisecond)); len(expired) != 1 {
+	if expired := c.ExpireLapsed(now.Add(1900 * time.Millisecond)); len(expired) != 1 {
 		t.Errorf("given up when others would be back: %v, want the one that went", expired)
 	}
 }
--- a/internal/catalog/incarnation_test.go
+++ b/internal/catalog/incarnation_test.go
@@ -70,13 +70,13 @@
 	} {
 		for way, put := range map[string]func(k *catalog.Catalog, revision int64, e message.StoredObject){
 			"as changes": func(k *catalog.Catalog, revision int64, e message.StoredObject) {
-				k.Apply(time.Time{}, revision, []catalog.Change{{StoredObject: e}})
+				k.ApplyTargets(time.Time{}, revision, []catalog.Change{{StoredObject: e}})
 			},
 			"as lists": func(k *catalog.Catalog, revision int64, e message.StoredObject) {
 				k.SetTargets(time.Time{}, revision, []message.StoredObject{e, entryOf("b", 1, "7")})
 			},
 			"from another router": func(k *catalog.Catalog, revision int64, e message.StoredObject) {
-				k.Take(time.Time{}, message.Copy{Targets: message.StoredObjects{Revision: revision, Since: revision - 1, List: []message.StoredObject{e}}})
+				k.Merge(time.Time{}, message.Copy{Targets: message.StoredObjects{Revision: revision, Since: revision - 1, List: []message.StoredObject{e}}})
 			},
 		} {
 			t.Run(name+" "+way, func(t *testing.T) {
@@ -116,8 +116,8 @@
 	k := catalog.New(bornCodec{}, drainPeriod, entryTTL)
 	now := time.Unix(1000, 0)
 	k.SetTargets(now, 1, []message.StoredObject{entryOf("a", 1, "1"), entryOf("b", 1, "1")})
-	k.Apply(now, 2, []catalog.Change{{StoredObject: entryOf("a", 2, "?")}})
-	k.Unstable(now)
+	k.ApplyTargets(now, 2, []catalog.Change{{StoredObject: entryOf("a", 2, "?")}})
+	k.MarkUnstable(now)
 	k.SetTargets(now, 3, nil)
 	if got := inUse(k); got != "b@1" {
 		t.Errorf("%q, want only what was good to lapse", got)
@@ -162,12 +162,12 @@
 		seen := make([]int64, routers)
 		check := func(i int) {
 			// After the removal of an entry any incarnation may follow.
-			for _, e := range events[min(seen[i], known[i].Revision()):known[i].Revision()] {
+			for _, e := range events[min(seen[i], known[i].TargetsRevision()):known[i].TargetsRevision()] {
 				if e.Gone {
 					delete(newest[i], e.Name)
 				}
 			}
-			seen[i] = known[i].Revision()
+			seen[i] = known[i].TargetsRevision()
 			now := map[string]int64{}
 			for _, target := range known[i].Targets() {
 				if last := newest[i][target.ID]; target.Born < last {
@@ -175,7 +175,7 @@
 				}
 				now[target.ID] = target.Born
 			}
-			for name, e := range held(known[i].Revision()) {
+			for name, e := range held(known[i].TargetsRevision()) {
 				born, used := now[name]
 				bad := e.Gone || string(e.Value) == "?"
 				if bad && used {
@@ -187,7 +187,7 @@
 				says, _ := strconv.ParseInt(string(e.Value), 10, 64)
 				// The store may hold only a late write of an older incarnation, and a router may
 				// have missed that the entry was removed in between.
-				if !used && says >= newestOf(events[:known[i].Revision()], name) {
+				if !used && says >= newestOf(events[:known[i].TargetsRevision()], name) {
 					t.Fatalf("router %d does not use %s@%d", i, name, says)
 				}
 				if used && born < says {
@@ -206,12 +206,12 @@
 			},
 			"watch": func(t *rapid.T) {
 				i := router.Draw(t, "router")
-				from := known[i].Revision()
+				from := known[i].TargetsRevision()
 				if from == int64(len(events)) {
 					return
 				}
 				to := rapid.Int64Range(from+1, int64(len(events))).Draw(t, "to")
-				known[i].Apply(now, to, slices.Clone(events[from:to]))
+				known[i].ApplyTargets(now, to, slices.Clone(events[from:to]))
 				for _, e := range events[from:to] {
 					born, err := strconv.ParseInt(string(e.Value), 10, 64)
 					switch {
@@ -236,7 +236,7 @@
 			},
 			"copy": func(t *rapid.T) {
 				from, to := known[router.Draw(t, "from")], known[router.Draw(t, "to")]
-				to.Take(now, from.Copy(now, message.NeedCopy{Targets: to.Revision()}))
+				to.Merge(now, from.Copy(now, message.NeedCopy{Targets: to.TargetsRevision()}))
 			},
 			"": func(*rapid.T) {
 				for i := range known {
@@ -253,10 +253,10 @@
 func TestLateWriteIsPassedOn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	knows, behind := catalog.New(bornCodec{}, drainPeriod, entryTTL), catalog.New(bornCodec{}, drainPeriod, entryTTL)
-	knows.Apply(now, 1, []catalog.Change{{StoredObject: entryOf("b", 1, "3")}})
-	behind.Apply(now, 3, []catalog.Change{{StoredObject: entryOf("b", 3, "1")}})
-	knows.Apply(now, 4, []catalog.Change{{StoredObject: entryOf("b", 4, "2")}})
-	behind.Take(now, knows.Copy(now, message.NeedCopy{Targets: behind.Revision()}))
+	knows.ApplyTargets(now, 1, []catalog.Change{{StoredObject: entryOf("b", 1, "3")}})
+	behind.ApplyTargets(now, 3, []catalog.Change{{StoredObject: entryOf("b", 3, "1")}})
+	knows.ApplyTargets(now, 4, []catalog.Change{{StoredObject: entryOf("b", 4, "2")}})
+	behind.Merge(now, knows.Copy(now, message.NeedCopy{Targets: behind.TargetsRevision()}))
 	if got := inUse(knows) + " " + inUse(behind); got != "b@3 b@2" {
 		t.Errorf("%q, want each to keep the newest life that it knows", got)
 	}
@@ -271,7 +271,7 @@
 	k.SetTargets(time.Time{}, 2, nil)
 	for i, born := range []string{"2", "?", "1"} {
 		revision := int64(3 + i)
-		k.Apply(time.Time{}, revision, []catalog.Change{{StoredObject: entryOf("a", revision, born)}})
+		k.ApplyTargets(time.Time{}, revision, []catalog.Change{{StoredObject: entryOf("a", revision, born)}})
 	}
 	if got := inUse(k); got != "" {
 		t.Errorf("%q is used", got)
--- a/internal/catalog/zones.go
+++ b/internal/catalog/zones.go
@@ -35,7 +35,7 @@
 }
 
 // DrainedZones returns the drained availability zones, sorted. Their targets get no requests.
-func (c *Catalog) Drained() []string {
+func (c *Catalog) DrainedZones() []string {
 	list := slices.AppendSeq(slices.Collect(maps.Keys(c.zones.objects)), maps.Keys(c.retainedZones))
 	slices.Sort(list)
 	return slices.Compact(list)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -119,7 +119,7 @@
 	if len(m.Config) > 0 {
 		g.setConfig(s, m.ConfigRevision, m.Config, string(from.ID))
 	}
-	changed := g.catalog.Take(now, m)
+	changed := g.catalog.Merge(now, m)
 	g.targetsChanged(s, now, changed, string(from.ID))
 	g.confirm(now, string(from.ID))
 }
@@ -152,7 +152,7 @@
 
 // logNotTaken logs a configuration that is another than the one in force and not newer.
 func (g *Gateway) logNotTaken(at int64, value []byte, from string) {
-	if g.catalog.Differs(value) {
+	if g.catalog.ConfigDiffers(value) {
 		g.Log.Info("configuration not taken", "era", revision.Era(at), "revision", revision.Store(at),
 			"version_in_force", g.catalog.Table().Version(), "bytes", len(value), "from", from)
 	}
@@ -174,7 +174,7 @@
 // ChangeTargets takes over changes to the store's list of targets.
 func (g *Gateway) ChangeTargets(at int64, changes []catalog.Change) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
-		g.catalog.Apply(now, at, changes)
+		g.catalog.ApplyTargets(now, at, changes)
 		g.targetsChanged(s, now, len(changes) > 0, fromStore)
 	})
 }
@@ -193,7 +193,7 @@
 			leaving++
 		}
 	}
-	at := g.catalog.Revision()
+	at := g.catalog.TargetsRevision()
 	g.Log.Info("targets known", "era", revision.Era(at), "revision", revision.Store(at), "targets", len(list),
 		"leaving", leaving, "lapsed", g.catalog.Lapsed(), "from", from)
 	g.logZones(now, list, from)
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -71,8 +71,8 @@
 	g.found(now)
 	g.expireSuspects(now)
 	g.stopWaiting(now)
-	if expired := g.catalog.Expire(now); len(expired) > 0 {
-		g.Log.Info("lapsed targets given up", "era", revision.Era(g.catalog.Revision()), "revision", revision.Store(g.catalog.Revision()), "count", len(expired),
+	if expired := g.catalog.ExpireLapsed(now); len(expired) > 0 {
+		g.Log.Info("lapsed targets given up", "era", revision.Era(g.catalog.TargetsRevision()), "revision", revision.Store(g.catalog.TargetsRevision()), "count", len(expired),
 			"targets", expired[:min(len(expired), namesMost)])
 		s.SetTargets(now, g.catalog.Targets())
 	}
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -37,7 +37,7 @@
 // StoreTrouble notes that a call to the store failed.
 func (g *Gateway) StoreTrouble() {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
-		g.catalog.Unstable(now)
+		g.catalog.MarkUnstable(now)
 		if g.trouble.IsZero() {
 			g.trouble = now
 			g.spread(now)
@@ -47,7 +47,7 @@
 
 // StoreUnstable notes that the store answers, but may list too few targets.
 func (g *Gateway) StoreUnstable() {
-	g.loop.Post(func(_ *balance.State, now time.Time) { g.catalog.Unstable(now) })
+	g.loop.Post(func(_ *balance.State, now time.Time) { g.catalog.MarkUnstable(now) })
 }
 
 // StoreCameBackOlder notes that the store came back from an older copy, in a new era. What is
@@ -55,7 +55,7 @@
 // and nobody else writes them again.
 func (g *Gateway) StoreCameBackOlder(era int64) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
-		g.catalog.Unstable(now)
+		g.catalog.MarkUnstable(now)
 		if era > g.era {
 			g.era = era
 			g.keep(g.isolation.exchange.All(now))
@@ -66,7 +66,7 @@
 // StoreRevision returns the store's revision as of which the targets are known here.
 func (g *Gateway) StoreRevision(ctx context.Context) int64 {
 	known := int64(0)
-	if !g.loop.Ask(ctx, func(*balance.State, time.Time) { known = g.catalog.Revision() }) {
+	if !g.loop.Ask(ctx, func(*balance.State, time.Time) { known = g.catalog.TargetsRevision() }) {
 		return 0
 	}
 	return known
@@ -89,7 +89,7 @@
 	watches := true
 	g.loop.Ask(ctx, func(_ *balance.State, now time.Time) {
 		wait := settleTime
-		ignorant := g.catalog.Table() == nil || g.catalog.Revision() == 0
+		ignorant := g.catalog.Table() == nil || g.catalog.TargetsRevision() == 0
 		if ignorant {
 			wait = g.settle
 		}
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -46,7 +46,7 @@
 // logZones logs which availability zones are drained if that has changed, since a complaint
 // that a zone still gets requests begins with when this router knew.
 func (g *Gateway) logZones(now time.Time, list []balance.Target, from string) {
-	drained := g.catalog.Drained()
+	drained := g.catalog.DrainedZones()
 	if slices.Equal(drained, g.drained.zones) {
 		return
 	}
