--- a/internal/forward/coalesce_test.go
+++ b/internal/forward/coalesce_test.go
@@ -61,7 +61,7 @@
 		f := forward.New(forward.Dialect{RequestID: "X-Id", Deadline: "X-Wait-Ms", ExpectTarget: "X-Expect"}, httptarget.New(g), loop, noSuspects{}, logr.Discard(), discard{})
 		caller := &recordingCaller{}
 		v := f.Forward(context.Background(), forward.Request{
-			ID: "r", Method: http.MethodPost, Target: "/", Host: "h", Service: "s", Arrived: time.Now(), Deadline: time.Now().Add(10 * time.Second),
+			ID: "r", Method: http.MethodPost, URI: "/", Host: "h", Service: "s", Arrived: time.Now(), Deadline: time.Now().Add(10 * time.Second),
 			Route: &routing.Route{Kind: routing.Streaming, Goal: time.Second, MaxPause: 400 * time.Millisecond, MaxAttempts: 1},
 		}, caller)
 		Expect(v.Status).To(Equal(http.StatusOK))
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -78,7 +78,7 @@
 	// fetchSource is an engine from which the target can fetch cached parts of the prompt;
 	// its ID is empty if there is none.
 	fetchSource balance.Target
-	verdict     Verdict
+	result      Result
 	// answerStarted is set once the target of the current send has started to answer.
 	answerStarted bool
 	// mayHaveRun is set once a target may have run the request, wholly or in part.
@@ -95,24 +95,24 @@
 
 // Forward sends r to a target and the answer to caller. It returns when the answer is
 // complete or the request is abandoned. ctx must end when the caller disconnects.
-func (f *Forwarder) Forward(ctx context.Context, r Request, caller Caller) Verdict {
+func (f *Forwarder) Forward(ctx context.Context, r Request, caller Caller) Result {
 	deadline := r.Expires()
-	x := &inflight{Forwarder: f, Request: r, caller: caller, deadline: deadline, lastEventID: r.LastEvent}
+	x := &inflight{Forwarder: f, Request: r, caller: caller, deadline: deadline, lastEventID: r.LastEventID}
 	x.ticket = &balance.Ticket{
-		ID: r.ID, Service: r.Service, Organisation: r.Organisation, Engine: r.Engine, Stream: r.Route.Kind == routing.Streaming,
+		ID: r.ID, Service: r.Service, Organisation: r.Organisation, Engine: r.ToEngine, Stream: r.Route.Kind == routing.Streaming,
 		Parts: r.Parts, Input: r.Input, Output: r.Output, Goal: r.Route.Goal,
 		Arrived: r.Arrived, Deadline: deadline, Decision: make(chan balance.Decision, 1),
 	}
 	timed, cancel := context.WithTimeout(ctx, clock.Until(deadline))
 	defer cancel()
 	if x.refuseQuarantined(timed) {
-		return x.verdict
+		return x.result
 	}
 	x.sendUntilDone(timed)
 	if x.onTrial {
 		x.suspects.EndTrial(x.key())
 	}
-	return x.verdict
+	return x.result
 }
 
 // sendUntilDone sends the request, with retries, until it is answered, refused or abandoned.
@@ -123,7 +123,7 @@
 		if !ok {
 			return
 		}
-		if x.Gone != nil && x.Gone() {
+		if x.CallerGone != nil && x.CallerGone() {
 			x.endSend(balance.Abandoned)
 			x.abandon(ctx)
 			return
@@ -153,14 +153,14 @@
 func (x *inflight) awaitTarget(ctx context.Context) (balance.Target, bool) {
 	select {
 	case d := <-x.ticket.Decision:
-		x.verdict.Waited = d.Waited
+		x.result.QueueTime = d.Waited
 		if d.Refused != "" {
 			x.refuse(Reason(d.Refused), d.RetryAfter)
 			return balance.Target{}, false
 		}
-		x.verdict.Target = d.Target.ID
-		x.verdict.Unread, x.verdict.Miss, x.verdict.Fetched = d.Unread, d.Miss, d.Fetched
-		x.verdict.Lapsed = d.Lapsed
+		x.result.TargetID = d.Target.ID
+		x.result.PendingTokens, x.result.UncachedTokens, x.result.FetchableTokens = d.Unread, d.Miss, d.Fetched
+		x.result.LapsedFor = d.Lapsed
 		x.fetchSource = d.Source
 		return d.Target, true
 	case <-ctx.Done():
@@ -184,36 +184,36 @@
 	})
 }
 
-// refuse sets the verdict of a request that no target ran, or whose answer cannot be
+// refuse sets the result of a request that no target ran, or whose answer cannot be
 // continued.
 func (x *inflight) refuse(why Reason, after time.Duration) {
-	x.verdict.Reason = why
-	if x.verdict.Begun {
-		x.verdict.Cut = true
+	x.result.Reason = why
+	if x.result.HeadSent {
+		x.result.Truncated = true
 		return
 	}
 	if x.mayHaveRun {
-		x.verdict.Status = http.StatusBadGateway
+		x.result.Status = http.StatusBadGateway
 		return
 	}
-	x.verdict.Status = http.StatusServiceUnavailable
-	x.verdict.RetryAfter = after
+	x.result.Status = http.StatusServiceUnavailable
+	x.result.RetryAfter = after
 }
 
-// abandon sets the verdict of a request whose deadline has passed or whose caller has gone.
+// abandon sets the result of a request whose deadline has passed or whose caller has gone.
 func (x *inflight) abandon(ctx context.Context) {
-	x.verdict.Reason = ReasonGone
+	x.result.Reason = ReasonGone
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		x.verdict.Reason = ReasonDeadline
+		x.result.Reason = ReasonDeadline
 	}
-	if x.verdict.Begun {
-		x.verdict.Cut = true
+	if x.result.HeadSent {
+		x.result.Truncated = true
 		return
 	}
-	x.verdict.Status = http.StatusGatewayTimeout
+	x.result.Status = http.StatusGatewayTimeout
 	if !x.mayHaveRun {
-		x.verdict.Status = http.StatusServiceUnavailable
-		x.verdict.RetryAfter = defaultRetryAfter
+		x.result.Status = http.StatusServiceUnavailable
+		x.result.RetryAfter = defaultRetryAfter
 	}
 }
 
@@ -251,7 +251,7 @@
 		x.logFailure("sent again", to, f)
 		return true
 	}
-	if f.errorAnswer != nil && !x.verdict.Begun {
+	if f.errorAnswer != nil && !x.result.HeadSent {
 		x.writeAnswer(f.errorAnswer)
 		return false
 	}
@@ -291,13 +291,13 @@
 
 // mayRetry reports whether the request may be sent to another target.
 func (x *inflight) mayRetry(f *failure) bool {
-	if x.verdict.Sends >= max(x.Route.MaxAttempts, 1) {
+	if x.result.Sends >= max(x.Route.MaxAttempts, 1) {
 		return false
 	}
 	if clock.Until(x.deadline) < minTimeForRetry {
 		return false
 	}
-	if x.verdict.Begun && !x.Route.Resumable {
+	if x.result.HeadSent && !x.Route.Resumable {
 		return false
 	}
 	return !f.mayHaveRun || x.Route.Repeatable()
@@ -307,7 +307,7 @@
 // allows it. It spends no budget as long as no send has reached a target.
 func (x *inflight) retry(ctx context.Context, to balance.Target) bool {
 	t := x.ticket
-	unsent, resumes := x.verdict.Sends == 0, x.verdict.Begun
+	unsent, resumes := x.result.Sends == 0, x.result.HeadSent
 	allowed := false
 	answered := x.loop.Ask(ctx, func(s *balance.State, now time.Time) {
 		t.Tried = append(t.Tried, to.Incarnation())
@@ -332,7 +332,7 @@
 	b := make([]byte, 0, initialHeadSize)
 	b = append(b, x.Method...)
 	b = append(b, ' ')
-	b = append(b, x.Target...)
+	b = append(b, x.URI...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	b = append(b, x.Host...)
 	b = append(b, "\r\n"...)
--- a/internal/forward/leaving_test.go
+++ b/internal/forward/leaving_test.go
@@ -52,12 +52,12 @@
 	}
 }
 
-// send forwards a request and returns its verdict.
-func (f *testForwarder) send(kind routing.Kind) forward.Verdict {
+// send forwards a request and returns its result.
+func (f *testForwarder) send(kind routing.Kind) forward.Result {
 	f.requests++
 	now := time.Now()
 	return f.Forward(context.Background(), forward.Request{
-		ID: fmt.Sprint("r", f.requests), Method: http.MethodPost, Target: "/", Host: "h", Service: "s",
+		ID: fmt.Sprint("r", f.requests), Method: http.MethodPost, URI: "/", Host: "h", Service: "s",
 		Arrived: now, Deadline: now.Add(10 * time.Second),
 		Route: &routing.Route{Kind: kind, Goal: time.Second, MaxPause: time.Second, MaxAttempts: 2},
 	}, discard{})
@@ -140,7 +140,7 @@
 	lists := [][]balance.Target{{a, b}, {b}, {b, a}}
 	for i := range requests {
 		f.setTargets(t, lists[i%len(lists)]...)
-		if v := f.send(kind); v.Status != http.StatusOK || v.Cut {
+		if v := f.send(kind); v.Status != http.StatusOK || v.Truncated {
 			t.Fatalf("status %d, reason %q", v.Status, v.Reason)
 		}
 	}
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -43,8 +43,8 @@
 type Request struct {
 	ID     string
 	Method string
-	// Target is the path and query exactly as the caller sent them.
-	Target       string
+	// URI is the path and query exactly as the caller sent them.
+	URI          string
 	Host         string
 	Route        *routing.Route
 	Service      string
@@ -55,16 +55,17 @@
 	Arrived time.Time
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// Engine is set if the service's targets are model engines.
-	Engine bool
-	Parts  []prefix.Part
+	// ToEngine is set if the service's targets are model engines.
+	ToEngine bool
+	Parts    []prefix.Part
 	// Input is the number of prompt tokens, Output the maximum number of output tokens.
 	Input, Output int
-	// LastEvent is the id of the last event that the caller has received; empty if none.
-	LastEvent string
-	// Gone reports whether the caller has disconnected, checked on its connection because
-	// on a busy box the request's context ends late. It is nil if that cannot be checked.
-	Gone func() bool
+	// LastEventID is the id of the last event that the caller has received; empty if none.
+	LastEventID string
+	// CallerGone reports whether the caller has disconnected, checked on its connection
+	// because on a busy box the request's context ends late. It is nil if that cannot be
+	// checked.
+	CallerGone func() bool
 }
 
 // Expires returns when the request is abandoned: at its caller's deadline or its route's
@@ -91,14 +92,14 @@
 	ProcessExited(ctx context.Context, address, instance string) bool
 }
 
-// Verdict is how a request ended, with what is needed to answer its caller and to log it.
-type Verdict struct {
-	// Status is the status that was sent, or that is to be sent if Begun is false.
+// Result is how a request ended, with what is needed to answer its caller and to log it.
+type Result struct {
+	// Status is the status that was sent, or that is to be sent if HeadSent is false.
 	Status int
-	// Begun is set if the answer's head has been sent to the caller.
-	Begun bool
-	// Cut is set if the answer broke off: the caller must not take it for a complete one.
-	Cut bool
+	// HeadSent is set if the answer's head has been sent to the caller.
+	HeadSent bool
+	// Truncated is set if the answer broke off and must not look complete to the caller.
+	Truncated bool
 	// Reason says why the request was refused or failed; empty if a target's answer was
 	// forwarded.
 	Reason Reason
@@ -106,24 +107,24 @@
 	RetryAfter time.Duration
 	// Sends is the number of times that the request was sent to a target.
 	Sends int
-	// Waited is the time from arrival to the choice of a target, First the time from
-	// arrival to the first part of the answer's body; 0 if none came.
-	Waited, First time.Duration
-	// Target is the id of the last target that was chosen.
-	Target string
-	// Unread is the number of prompt tokens that the target still had to process when it
-	// was chosen (its prefill backlog), including this request's. Miss is the number of
-	// this request's prompt tokens among them: those neither cached there nor fetched.
-	Unread, Miss int
-	// Fetched is the number of this request's prompt tokens that the target could fetch
-	// from another engine's cache.
-	Fetched int
-	// Lapsed is how long ago the target's entry had lapsed, that is, its TTL ran out while
+	// QueueTime is the time from arrival to the choice of a target. TimeToFirstByte is the
+	// time from arrival to the first part of the answer's body; 0 if none came.
+	QueueTime, TimeToFirstByte time.Duration
+	// TargetID is the id of the last target that was chosen.
+	TargetID string
+	// PendingTokens is the number of prompt tokens that the target still had to process when
+	// it was chosen (its prefill backlog), including this request's. UncachedTokens is the
+	// number of this request's among them: those neither cached there nor fetched.
+	PendingTokens, UncachedTokens int
+	// FetchableTokens is the number of this request's prompt tokens that the target could
+	// fetch from another engine's cache.
+	FetchableTokens int
+	// LapsedFor is how long ago the target's entry had lapsed, that is, its TTL ran out while
 	// the store was unavailable; 0 if it was listed.
-	Lapsed time.Duration
-	// Content is a digest of the request's content if the request was refused because it
+	LapsedFor time.Duration
+	// ContentDigest is a digest of the request's content if the request was refused because it
 	// is quarantined, else empty.
-	Content string
+	ContentDigest string
 }
 
 // Reason is why a request was refused, failed or was retried.
--- a/internal/forward/suspects.go
+++ b/internal/forward/suspects.go
@@ -42,7 +42,7 @@
 // key identifies the request by its content, so that repeats with other ids are recognised.
 func (x *inflight) key() quarantine.Key {
 	if x.contentKey == nil {
-		k := quarantine.KeyOf(x.Organisation, x.Method, x.Target, x.Body)
+		k := quarantine.KeyOf(x.Organisation, x.Method, x.URI, x.Body)
 		x.contentKey = &k
 	}
 	return *x.contentKey
@@ -65,7 +65,7 @@
 	if v.Stale(now, k) {
 		x.suspects.RecordSeen(k)
 	}
-	x.verdict.Content = k.String()
+	x.result.ContentDigest = k.String()
 	if left == 0 {
 		left = trialRetryAfter
 	}
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return x.sendFailed(ctx, to, err)
 	}
-	x.verdict.Sends++
+	x.result.Sends++
 	x.answerStarted = false
 	x.readAdvice(to, answer)
 	f := x.forwardAnswer(ctx, answer, silence)
@@ -93,7 +93,7 @@
 		x.endSend(f.result)
 		return f
 	}
-	x.verdict.Sends++
+	x.result.Sends++
 	f := &failure{reason: ReasonBroken, result: balance.Failed, mayHaveRun: true, cause: err}
 	if ctx.Err() != nil {
 		f = x.cancelledFailure(ctx, err)
@@ -124,8 +124,8 @@
 // the first piece of each send only: a message for each event of a stream would wake it
 // thousands of times a second.
 func (x *inflight) recordPiece() {
-	if x.verdict.First == 0 {
-		x.verdict.First = clock.Since(x.Arrived)
+	if x.result.TimeToFirstByte == 0 {
+		x.result.TimeToFirstByte = clock.Since(x.Arrived)
 	}
 	x.ticket.Heard.Store(clock.Since(x.ticket.Arrived).Nanoseconds())
 	if x.answerStarted {
@@ -139,7 +139,7 @@
 // startSilenceTimer returns a timer that cancels the exchange when the target is silent for
 // too long and another one may take over. If no further send is allowed, it does nothing.
 func (x *inflight) startSilenceTimer(cancel context.CancelCauseFunc) *time.Timer {
-	if !x.Route.Repeatable() || x.verdict.Sends+1 >= x.Route.MaxAttempts {
+	if !x.Route.Repeatable() || x.result.Sends+1 >= x.Route.MaxAttempts {
 		return time.AfterFunc(clock.Until(x.deadline), func() {})
 	}
 	t := x.ticket
@@ -185,7 +185,7 @@
 	if a.Status >= http.StatusInternalServerError {
 		return &failure{reason: ReasonFailed, result: balance.Answered, mayHaveRun: true, errorAnswer: whole, cause: errors.Errorf("status %d", a.Status)}
 	}
-	if x.verdict.Begun {
+	if x.result.HeadSent {
 		return &failure{reason: ReasonFailed, result: balance.Answered, mayHaveRun: true, cause: errors.Errorf("status %d instead of the resumed stream", a.Status)}
 	}
 	x.writeAnswer(whole)
@@ -194,20 +194,20 @@
 
 // writeAnswer sends a buffered answer to the caller.
 func (x *inflight) writeAnswer(a *bufferedAnswer) {
-	x.verdict.Begun = true
-	x.verdict.Status = a.status
+	x.result.HeadSent = true
+	x.result.Status = a.status
 	x.caller.Head(a.status, a.header, int64(len(a.body)))
 	if err := x.caller.Write(a.body); err != nil {
-		x.verdict.Cut = true
-		x.verdict.Reason = ReasonGone
+		x.result.Truncated = true
+		x.result.Reason = ReasonGone
 	}
 }
 
 // forwardUnbuffered forwards an answer of known length while it is being received.
 func (x *inflight) forwardUnbuffered(a *httptarget.Answer) *failure {
 	x.recordPiece()
-	x.verdict.Begun = true
-	x.verdict.Status = a.Status
+	x.result.HeadSent = true
+	x.result.Status = a.Status
 	x.caller.Head(a.Status, x.answerHeader(a.Header), a.Length())
 	buffer := make([]byte, 16<<10)
 	for {
@@ -237,7 +237,7 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if !x.verdict.Begun {
+			if !x.result.HeadSent {
 				x.startStream(a)
 			}
 			return nil
@@ -267,7 +267,7 @@
 
 // forwardBatch forwards a batch of whole events and restarts the silence timer.
 func (x *inflight) forwardBatch(a *httptarget.Answer, reader *eventReader, batch []byte, silence *time.Timer) *failure {
-	if x.forwardedEvents == 0 || !x.verdict.Begun {
+	if x.forwardedEvents == 0 || !x.result.HeadSent {
 		x.startStream(a)
 	}
 	x.recordPiece()
@@ -277,7 +277,7 @@
 	x.ticket.Pieces.Add(1)
 	x.forwardedEvents += reader.batchCount
 	x.lastEventID = reader.lastID
-	if x.Route.Repeatable() && x.verdict.Sends < x.Route.MaxAttempts {
+	if x.Route.Repeatable() && x.result.Sends < x.Route.MaxAttempts {
 		silence.Reset(max(maxSilentPauses*x.Route.MaxPause, minSilence))
 		return nil
 	}
@@ -287,11 +287,11 @@
 
 // startStream sends the head of a stream to the caller, unless an earlier target's was sent.
 func (x *inflight) startStream(a *httptarget.Answer) {
-	if x.verdict.Begun {
+	if x.result.HeadSent {
 		return
 	}
-	x.verdict.Begun = true
-	x.verdict.Status = a.Status
+	x.result.HeadSent = true
+	x.result.Status = a.Status
 	x.caller.Head(a.Status, x.answerHeader(a.Header), -1)
 }
 
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -100,20 +100,20 @@
 // CountAdvice counts what a target said of itself.
 func (m *Metrics) CountAdvice(a forward.Advice) { m.advice.Add(string(a), 1) }
 
-func (m *Metrics) ended(v forward.Verdict, took time.Duration) {
+func (m *Metrics) ended(v forward.Result, took time.Duration) {
 	m.statuses.Add(fmt.Sprint(v.Status), 1)
 	switch {
 	case v.Reason == "":
-	case v.Begun || v.Status == http.StatusBadGateway || v.Status == http.StatusGatewayTimeout:
+	case v.HeadSent || v.Status == http.StatusBadGateway || v.Status == http.StatusGatewayTimeout:
 		m.failures.Add(string(v.Reason), 1)
 	default:
 		m.refusals.Add(string(v.Reason), 1)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	record(m.waited, v.Waited)
-	if v.First > 0 {
-		record(m.first, v.First)
+	record(m.waited, v.QueueTime)
+	if v.TimeToFirstByte > 0 {
+		record(m.first, v.TimeToFirstByte)
 	}
 	record(m.total, took)
 }
@@ -202,7 +202,7 @@
 }
 
 // Ended implements ingress.Observer.
-func (o observer) Ended(r forward.Request, v forward.Verdict, took time.Duration) {
+func (o observer) Ended(r forward.Request, v forward.Result, took time.Duration) {
 	o.metrics.ended(v, took)
 	hidden := o.full != nil && o.full()
 	o.tally.add(r, v, hidden)
@@ -214,21 +214,21 @@
 		route, goal = r.Route.Name, r.Route.Goal
 	}
 	log := o.log
-	if v.Content != "" {
-		log = log.WithValues("content", v.Content)
+	if v.ContentDigest != "" {
+		log = log.WithValues("content", v.ContentDigest)
 	}
 	log.Info("request", "id", r.ID, "route", route, "organisation", r.Organisation, "outcome", outcome(v),
-		"status", v.Status, "reason", string(v.Reason), "target", v.Target,
-		"lapsed_ms", v.Lapsed.Milliseconds(), "sends", v.Sends,
-		"unread", v.Unread, "miss", v.Miss, "fetched", v.Fetched, "input", r.Input, "output", r.Output,
-		"goal_ms", milliseconds(goal), "waited_ms", milliseconds(v.Waited), "first_ms", milliseconds(v.First),
+		"status", v.Status, "reason", string(v.Reason), "target", v.TargetID,
+		"lapsed_ms", v.LapsedFor.Milliseconds(), "sends", v.Sends,
+		"unread", v.PendingTokens, "miss", v.UncachedTokens, "fetched", v.FetchableTokens, "input", r.Input, "output", r.Output,
+		"goal_ms", milliseconds(goal), "waited_ms", milliseconds(v.QueueTime), "first_ms", milliseconds(v.TimeToFirstByte),
 		"took_ms", milliseconds(took), "retry_after_ms", v.RetryAfter.Milliseconds())
 }
 
 // outcome says in a word how a request ended.
-func outcome(v forward.Verdict) string {
+func outcome(v forward.Result) string {
 	switch {
-	case v.Cut:
+	case v.Truncated:
 		return "cut"
 	case v.Reason != "":
 		return "refused"
--- a/internal/gateway/tally.go
+++ b/internal/gateway/tally.go
@@ -38,7 +38,7 @@
 }
 
 // add counts a request that ended; hidden tells that it has no line.
-func (t *tally) add(r forward.Request, v forward.Verdict, hidden bool) {
+func (t *tally) add(r forward.Request, v forward.Result, hidden bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.by == nil {
@@ -53,7 +53,7 @@
 	default:
 		o.answered++
 	}
-	if v.Begun {
+	if v.HeadSent {
 		o.tokens += throttle.RequestSize{Input: r.Input, Output: r.Output}.Tokens()
 	}
 	if hidden {
--- a/internal/gateway/tally_internal_test.go
+++ b/internal/gateway/tally_internal_test.go
@@ -12,14 +12,14 @@
 	var sums tally
 	now := time.Unix(1000, 0)
 	r := forward.Request{Organisation: "o", Input: 100, Output: 10}
-	sums.add(r, forward.Verdict{Status: http.StatusOK, Begun: true}, true)
-	sums.add(r, forward.Verdict{Status: http.StatusOK, Begun: true, Cut: true, Reason: "target-broken"}, true)
-	sums.add(r, forward.Verdict{Status: http.StatusServiceUnavailable, Reason: "router-busy"}, false)
+	sums.add(r, forward.Result{Status: http.StatusOK, HeadSent: true}, true)
+	sums.add(r, forward.Result{Status: http.StatusOK, HeadSent: true, Truncated: true, Reason: "target-broken"}, true)
+	sums.add(r, forward.Result{Status: http.StatusServiceUnavailable, Reason: "router-busy"}, false)
 	want := outcomes{answered: 1, refused: 1, cut: 1, hidden: 2, tokens: 240}
 	if got := sums.take(now)["o"]; got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	sums.add(r, forward.Verdict{Status: http.StatusOK, Begun: true}, true)
+	sums.add(r, forward.Result{Status: http.StatusOK, HeadSent: true}, true)
 	if got := sums.take(now.Add(tallyPeriod / 2)); got != nil {
 		t.Errorf("told before the time: %+v", got)
 	}
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -36,7 +36,7 @@
 	n atomic.Int64
 }
 
-func (c *counted) Ended(forward.Request, forward.Verdict, time.Duration) { c.n.Add(1) }
+func (c *counted) Ended(forward.Request, forward.Result, time.Duration) { c.n.Add(1) }
 
 var _ = Describe("A caller that left before its request was read", func() {
 	It("has nothing sent for it", func() {
--- a/internal/ingress/headers.go
+++ b/internal/ingress/headers.go
@@ -36,7 +36,7 @@
 		wait = time.Duration(ms * float64(time.Millisecond))
 	}
 	out.Deadline = out.Arrived.Add(wait)
-	out.LastEvent = r.Header.Get(s.dialect.LastEvent)
+	out.LastEventID = r.Header.Get(s.dialect.LastEvent)
 	out.Header = s.passedOn(r.Header)
 	out.Parts = promptParts(r.Header.Get(s.dialect.PromptParts))
 	return nil
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -77,7 +77,7 @@
 
 // Observer is told of each request that ended.
 type Observer interface {
-	Ended(r forward.Request, v forward.Verdict, took time.Duration)
+	Ended(r forward.Request, v forward.Result, took time.Duration)
 }
 
 // Server is the callers' side of a router. Use New to make one.
@@ -211,18 +211,18 @@
 		return
 	}
 	defer s.held.Add(-int64(len(request.Body)))
-	request.Gone = func() bool { return callerEnded(r.Context()) }
+	request.CallerGone = func() bool { return callerEnded(r.Context()) }
 	a := &answer{w: w, flush: http.NewResponseController(w)}
 	s.finish(w, request, s.forwarder.Forward(r.Context(), request, a), arrived)
 }
 
-// finish tells the caller what the verdict says and has not been told yet.
-func (s *Server) finish(w http.ResponseWriter, r forward.Request, v forward.Verdict, arrived time.Time) {
+// finish tells the caller what the result says and has not been told yet.
+func (s *Server) finish(w http.ResponseWriter, r forward.Request, v forward.Result, arrived time.Time) {
 	s.observer.Ended(r, v, clock.Since(arrived))
-	if v.Cut {
+	if v.Truncated {
 		panic(http.ErrAbortHandler)
 	}
-	if v.Begun {
+	if v.HeadSent {
 		return
 	}
 	h := w.Header()
@@ -245,14 +245,14 @@
 	return strconv.FormatFloat(math.Ceil(d.Seconds()*1000)/1000, 'f', -1, 64)
 }
 
-func refused(status int, why forward.Reason, after time.Duration) forward.Verdict {
-	return forward.Verdict{Status: status, Reason: why, RetryAfter: after}
+func refused(status int, why forward.Reason, after time.Duration) forward.Result {
+	return forward.Result{Status: status, Reason: why, RetryAfter: after}
 }
 
-// accept checks a request. A verdict with a status means that it is refused.
-func (s *Server) accept(w http.ResponseWriter, r *http.Request, arrived time.Time) (forward.Request, forward.Verdict) {
+// accept checks a request. A result with a status means that it is refused.
+func (s *Server) accept(w http.ResponseWriter, r *http.Request, arrived time.Time) (forward.Request, forward.Result) {
 	out := forward.Request{
-		ID: r.Header.Get(s.dialect.RequestID), Method: r.Method, Target: r.RequestURI, Host: r.Host, Arrived: arrived,
+		ID: r.Header.Get(s.dialect.RequestID), Method: r.Method, URI: r.RequestURI, Host: r.Host, Arrived: arrived,
 	}
 	t := s.table.Load()
 	if t == nil || s.paused.Load() {
@@ -282,7 +282,7 @@
 
 // admit returns why a request is to be refused unread, or "".
 func (s *Server) admit(r forward.Request) forward.Reason {
-	if !r.Engine {
+	if !r.ToEngine {
 		return ""
 	}
 	return s.forwarder.Admit(r.Organisation, offer(r))
@@ -293,10 +293,10 @@
 	return throttle.RequestSize{Input: r.Input, Output: r.Output}
 }
 
-// identify finds a request's route, organisation and service. A verdict with a
+// identify finds a request's route, organisation and service. A result with a
 // status means that it is refused.
-func (s *Server) identify(t *routing.Table, out *forward.Request, authorization string) forward.Verdict {
-	path, _, _ := strings.Cut(out.Target, "?")
+func (s *Server) identify(t *routing.Table, out *forward.Request, authorization string) forward.Result {
+	path, _, _ := strings.Cut(out.URI, "?")
 	route, ok := t.Lookup(out.Host, path)
 	if !ok {
 		return refused(http.StatusNotFound, ReasonNoRoute, 0)
@@ -309,12 +309,12 @@
 	}
 	out.Service = route.Service(out.ID)
 	service, _ := t.Service(out.Service)
-	out.Engine = service.Engine != nil
-	return forward.Verdict{}
+	out.ToEngine = service.Engine != nil
+	return forward.Result{}
 }
 
 // body reads the request's body within the configured limit.
-func (s *Server) body(w http.ResponseWriter, r *http.Request, t *routing.Table, out *forward.Request) forward.Verdict {
+func (s *Server) body(w http.ResponseWriter, r *http.Request, t *routing.Table, out *forward.Request) forward.Result {
 	limit := int64(t.Limits().BodyBytes)
 	if limit <= 0 {
 		limit = defaultBody
@@ -326,7 +326,7 @@
 		return refused(http.StatusServiceUnavailable, ReasonProcessFull, notReadyAfter)
 	}
 	if r.ContentLength == 0 {
-		return forward.Verdict{}
+		return forward.Result{}
 	}
 	control := http.NewResponseController(w)
 	if err := control.SetReadDeadline(clock.Deadline(bodyTimeout)); err != nil {
@@ -344,7 +344,7 @@
 	}
 	out.Body = body
 	s.held.Add(int64(len(body)))
-	return forward.Verdict{}
+	return forward.Result{}
 }
 
 func readBody(r *http.Request, limit int64) ([]byte, error) {
@@ -356,7 +356,7 @@
 	return io.ReadAll(io.LimitReader(r.Body, limit+1))
 }
 
-func (s *Server) bodyFailed(w http.ResponseWriter, out *forward.Request, err error) forward.Verdict {
+func (s *Server) bodyFailed(w http.ResponseWriter, out *forward.Request, err error) forward.Result {
 	s.log.Info("request body not read", "id", out.ID, "cause", err.Error())
 	w.Header().Set("Connection", "close")
 	var timeout net.Error
--- a/internal/ingress/quick.go
+++ b/internal/ingress/quick.go
@@ -49,7 +49,7 @@
 
 // request returns the request of a head, without its organisation.
 func (h quickHead) request() forward.Request {
-	out := forward.Request{ID: string(h.id), Method: string(h.method), Target: string(h.target), Host: string(h.host)}
+	out := forward.Request{ID: string(h.id), Method: string(h.method), URI: string(h.target), Host: string(h.host)}
 	out.Input, out.Output = sizes(string(h.size), string(h.hint))
 	return out
 }
@@ -82,7 +82,7 @@
 	if v := s.identify(t, &out, string(h.authorization)); v.Status != 0 {
 		return out, ""
 	}
-	if !out.Engine {
+	if !out.ToEngine {
 		return out, ""
 	}
 	return out, s.forwarder.Crowded(out.Organisation, offer(out))
@@ -90,7 +90,7 @@
 
 // quickAnswer returns a refusal as it is written; last tells the caller that the connection
 // ends with it.
-func (s *Server) quickAnswer(id string, v forward.Verdict, last bool) []byte {
+func (s *Server) quickAnswer(id string, v forward.Result, last bool) []byte {
 	b := make([]byte, 0, 256)
 	b = append(b, "HTTP/1.1 503 Service Unavailable\r\n"...)
 	if id != "" {
--- a/internal/ingress/quick_test.go
+++ b/internal/ingress/quick_test.go
@@ -52,9 +52,9 @@
 // ended keeps nothing of what it is told.
 type ended struct{}
 
-func (ended) Ended(forward.Request, forward.Verdict, time.Duration) {}
-func (ended) CountRetry(forward.Reason)                             {}
-func (ended) CountAdvice(forward.Advice)                            {}
+func (ended) Ended(forward.Request, forward.Result, time.Duration) {}
+func (ended) CountRetry(forward.Reason)                            {}
+func (ended) CountAdvice(forward.Advice)                           {}
 
 // maxConnections is the most connections that newServer's server has.
 const maxConnections = 3
--- a/internal/ingress/told_test.go
+++ b/internal/ingress/told_test.go
@@ -33,7 +33,7 @@
 // turnedAwayOnly is told of no request but those that were turned away.
 type turnedAwayOnly struct{ t *testing.T }
 
-func (o turnedAwayOnly) Ended(r forward.Request, v forward.Verdict, _ time.Duration) {
+func (o turnedAwayOnly) Ended(r forward.Request, v forward.Result, _ time.Duration) {
 	if v.Reason != ReasonOverdue || v.Status != http.StatusServiceUnavailable {
 		o.t.Errorf("request %q: %+v", r.ID, v)
 	}
@@ -91,7 +91,7 @@
 // leaving is told of no request but those that came as the router stopped.
 type leaving struct{ t *testing.T }
 
-func (o leaving) Ended(r forward.Request, v forward.Verdict, _ time.Duration) {
+func (o leaving) Ended(r forward.Request, v forward.Result, _ time.Duration) {
 	if v.Reason != ReasonLeaving || r.ID != "1" {
 		o.t.Errorf("request %q: %+v", r.ID, v)
 	}
