--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -64,7 +64,8 @@
 	leaving        bool
 	closed         bool
 	delayedReports []delayedReport
-	owners         map[string]message.RouterID
+	// owners maps each engine to the router that owns it.
+	owners map[string]message.RouterID
 	// remoteOwners lists the other routers that own engines of a pool, by pool. A
 	// router is listed once for each engine that it owns.
 	remoteOwners map[string][]message.RouterID
@@ -80,8 +81,10 @@
 
 // activeRequest is a request that this router has sent to an engine.
 type activeRequest struct {
-	owner  member.Member
-	use    place.Allocation
+	// owner is the router that owned the engine when the request got its slot.
+	owner      member.Member
+	allocation place.Allocation
+	// remote is set if owner is another router.
 	remote bool
 	// substituted is set if the slot was granted for one organisation and this
 	// router used it for another. The latter is charged here and not by the owner.
@@ -95,7 +98,9 @@
 	slot        uint64
 }
 
-func (r *activeRequest) key() slotKey { return slotKey{r.owner.ID, r.owner.Incarnation, r.use.Slot} }
+func (r *activeRequest) key() slotKey {
+	return slotKey{r.owner.ID, r.owner.Incarnation, r.allocation.Slot}
+}
 
 // delayedReport is a report that is used only after Options.ViewDelay.
 type delayedReport struct {
@@ -220,17 +225,17 @@
 	p.running[t.Organisation()]--
 	p.learnCost(t.Organisation(), t.Hint(), end)
 	if !r.remote {
-		s.release(r.use.Slot, t.Organisation(), end, now)
+		s.release(r.allocation.Slot, t.Organisation(), end, now)
 		s.dispatch(p, now)
 		return
 	}
-	cost := p.finalCost(end, now.Sub(r.use.Since))
+	cost := p.finalCost(end, now.Sub(r.allocation.Since))
 	if r.substituted {
-		p.charge(t.Organisation(), cost-r.use.Charged)
+		p.charge(t.Organisation(), cost-r.allocation.Charged)
 	}
 	delete(s.remoteSlots, r.key())
 	s.outlet.Send(r.owner, message.Done{
-		Slot:         r.use.Slot,
+		Slot:         r.allocation.Slot,
 		Organisation: t.Organisation(),
 		Cost:         end.Cost,
 		Waiting:      p.queue.Len(t.Organisation()),
--- a/internal/control/dispatch.go
+++ b/internal/control/dispatch.go
@@ -200,7 +200,7 @@
 	}
 	p.charge(organisation, u.Charged)
 	s.counts.LocalDispatches++
-	s.start(p, t, &activeRequest{owner: s.members.Self(), use: u})
+	s.start(p, t, &activeRequest{owner: s.members.Self(), allocation: u})
 }
 
 func (s *State) start(p *pool, t *request.Ticket, r *activeRequest) {
@@ -211,7 +211,7 @@
 		s.remoteSlots[r.key()] = true
 	}
 	p.running[t.Organisation()]++
-	s.outlet.Decide(t, request.Decision{Engine: r.use.Engine, Address: r.use.Address})
+	s.outlet.Decide(t, request.Decision{Engine: r.allocation.Engine, Address: r.allocation.Address})
 }
 
 // grantSlot grants a slot of an engine that this router owns to a router at which
@@ -264,7 +264,7 @@
 		owner:       from,
 		remote:      true,
 		substituted: t.Organisation() != g.Organisation,
-		use: place.Allocation{
+		allocation: place.Allocation{
 			Slot:         g.Slot,
 			Engine:       g.Engine,
 			Address:      box.Address,
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -210,9 +210,9 @@
 		counts[key] = 0
 	}
 	for _, r := range s.running {
-		owner := s.owners[r.use.Engine]
+		owner := s.owners[r.allocation.Engine]
 		if !s.isCurrentOwner(owner, r.owner) {
-			counts[foreignKey{r.use.Engine, owner}]++
+			counts[foreignKey{r.allocation.Engine, owner}]++
 		}
 	}
 	clear(s.reportedForeign)
--- a/internal/fair/share.go
+++ b/internal/fair/share.go
@@ -40,9 +40,11 @@
 	// last Pick, and those backlogged in the fleet view. The latter earn credit
 	// also while this router knows of no request of theirs that it could serve,
 	// so that they lose nothing by its outdated knowledge.
-	active      []*account
+	active []*account
+	// fractionSum is the sum of the active accounts' fractions, which is 1.
 	fractionSum float64
-	picks       uint64
+	// picks counts the calls of Pick.
+	picks uint64
 	// lastServedCredit is the credit of the organisation picked last, before its
 	// charge.
 	lastServedCredit float64
--- a/internal/fair/simple.go
+++ b/internal/fair/simple.go
@@ -1,7 +1,8 @@
 package fair
 
 // fifo serves the organisation whose oldest request has waited longest at this
-// router. When none wait here it serves other routers' requests.
+// router. When none wait here it serves the organisation with the most requests
+// waiting at other routers.
 type fifo struct{}
 
 func newFIFO() *fifo { return &fifo{} }
@@ -18,6 +19,7 @@
 	return best
 }
 
+// waitedLonger reports whether a is to be served before b, see fifo.
 func waitedLonger(a, b Candidate) bool {
 	if (a.LocalWaiting > 0) != (b.LocalWaiting > 0) {
 		return a.LocalWaiting > 0
--- a/internal/fleetview/fleetview.go
+++ b/internal/fleetview/fleetview.go
@@ -46,7 +46,7 @@
 	free          map[message.RouterID]int
 	organisations map[string]*organisation
 	// rangeFrom and rangeTo bound the local router's part of the pool's slots,
-	// if the parts of all owners are laid end rangeTo end rangeFrom 0 rangeTo 1.
+	// if the parts of all owners are laid end to end from 0 to 1.
 	rangeFrom, rangeTo float64
 }
 
