--- a/internal/fair/fair.go
+++ b/internal/fair/fair.go
@@ -81,7 +81,7 @@
 
 type constructor func(r *rand.Rand) Policy
 
-// registry holds the policies by name.
+// registry holds the policies by name. New policies are added here.
 var registry = map[string]constructor{
 	"fifo":   func(*rand.Rand) Policy { return newFIFO() },
 	"local":  func(*rand.Rand) Policy { return newLeastServed(ReachLocal) },
--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -173,6 +173,8 @@
 		Entry("64 routers", 64, 1600, 30.0),
 	)
 
+	// Fairness kept by each router separately has this property as well, as long as every
+	// router has requests of every organisation.
 	It("keeps the gap from growing with time", func() {
 		short := maxServiceGap("share", 8, 8, 10000, 400, 1)
 		long := maxServiceGap("share", 8, 8, 100000, 400, 1)
