--- a/internal/control/dispatch.go
+++ b/internal/control/dispatch.go
@@ -57,7 +57,7 @@
 		if i == maxIdleRecipients {
 			return
 		}
-		s.counts.Announced++
+		s.counts.AnnouncementsSent++
 		s.outlet.Send(others[n], message.Idle{Pool: p.name, Free: free})
 	}
 }
@@ -199,8 +199,8 @@
 		return
 	}
 	p.charge(organisation, u.Charged)
-	s.counts.Local++
-	s.start(p, t, &activeRequest{owner: s.members.Self(), use: u})
+	s.counts.LocalDispatches++
+	s.start(p, t, &activeRequest{owner: s.members.Self(), allocation: u})
 }
 
 func (s *State) start(p *pool, t *request.Ticket, r *activeRequest) {
@@ -211,7 +211,7 @@
 		s.remoteSlots[r.key()] = true
 	}
 	p.running[t.Organisation()]++
-	s.outlet.Decide(t, request.Decision{Engine: r.use.Engine, Address: r.use.Address})
+	s.outlet.Decide(t, request.Decision{Engine: r.allocation.Engine, Address: r.allocation.Address})
 }
 
 // grantSlot grants a slot of an engine that this router owns to a router at which
@@ -264,7 +264,7 @@
 		owner:       from,
 		remote:      true,
 		substituted: t.Organisation() != g.Organisation,
-		use: place.Allocation{
+		allocation: place.Allocation{
 			Slot:         g.Slot,
 			Engine:       g.Engine,
 			Address:      box.Address,
@@ -347,7 +347,7 @@
 		return
 	}
 	if to, ok := s.members.Lookup(id); ok {
-		s.counts.Asked++
+		s.counts.AsksSent++
 		s.outlet.Send(to, message.Ask{
 			Pool:         p.name,
 			Organisation: organisation,
