--- a/internal/catalog/incarnation_test.go
+++ b/internal/catalog/incarnation_test.go
@@ -24,7 +24,7 @@
 	// Output: true true false
 }
 
-// bornCodec reads a target whose value is when it started, and nothing else.
+// bornCodec decodes a target whose value is its start time.
 type bornCodec struct{}
 
 func (bornCodec) Table([]byte) (*routing.Table, error) { return routing.New(routing.Spec{Version: 1}) }
@@ -37,12 +37,12 @@
 	return balance.Target{ID: name, Service: "s", Born: born}, nil
 }
 
-// entryOf returns an entry as of a revision whose target started at a time.
+// entryOf returns an entry, as of a revision, of a target that started at the time born.
 func entryOf(name string, revision int64, born string) message.StoredObject {
 	return message.StoredObject{Name: name, Revision: revision, Value: []byte(born)}
 }
 
-// inUse returns the targets that a catalog would have used, as "name@born".
+// inUse returns the targets of a catalog as "name@born", separated by spaces.
 func inUse(c *catalog.Catalog) string {
 	var out []string
 	for _, t := range c.Targets() {
@@ -70,17 +70,17 @@
 	} {
 		for way, put := range map[string]func(k *catalog.Catalog, revision int64, e message.StoredObject){
 			"as changes": func(k *catalog.Catalog, revision int64, e message.StoredObject) {
-				k.Apply(time.Time{}, revision, []catalog.Change{{StoredObject: e}})
+				k.ApplyTargets(time.Time{}, revision, []catalog.Change{{StoredObject: e}})
 			},
 			"as lists": func(k *catalog.Catalog, revision int64, e message.StoredObject) {
 				k.SetTargets(time.Time{}, revision, []message.StoredObject{e, entryOf("b", 1, "7")})
 			},
 			"from another router": func(k *catalog.Catalog, revision int64, e message.StoredObject) {
-				k.Take(time.Time{}, message.Copy{Targets: message.StoredObjects{Revision: revision, Since: revision - 1, List: []message.StoredObject{e}}})
+				k.Merge(time.Time{}, message.Copy{Targets: message.StoredObjects{Revision: revision, Since: revision - 1, List: []message.StoredObject{e}}})
 			},
 		} {
 			t.Run(name+" "+way, func(t *testing.T) {
-				k := catalog.New(bornCodec{}, drainTime, silenceTime)
+				k := catalog.New(bornCodec{}, drainPeriod, entryTTL)
 				k.SetTargets(time.Time{}, 1, []message.StoredObject{entryOf("b", 1, "7")})
 				for i, born := range c.entries {
 					put(k, int64(i+2), entryOf("a", int64(i+2), born))
@@ -102,7 +102,7 @@
 }
 
 func TestBadEntryIsToldOnce(t *testing.T) {
-	k := catalog.New(bornCodec{}, drainTime, silenceTime)
+	k := catalog.New(bornCodec{}, drainPeriod, entryTTL)
 	bad := entryOf("a", 1, "?")
 	for revision := range int64(5) {
 		k.SetTargets(time.Time{}, revision+1, []message.StoredObject{bad})
@@ -113,18 +113,18 @@
 }
 
 func TestBadEntryDoesNotLapse(t *testing.T) {
-	k := catalog.New(bornCodec{}, drainTime, silenceTime)
+	k := catalog.New(bornCodec{}, drainPeriod, entryTTL)
 	now := time.Unix(1000, 0)
 	k.SetTargets(now, 1, []message.StoredObject{entryOf("a", 1, "1"), entryOf("b", 1, "1")})
-	k.Apply(now, 2, []catalog.Change{{StoredObject: entryOf("a", 2, "?")}})
-	k.Unstable(now)
+	k.ApplyTargets(now, 2, []catalog.Change{{StoredObject: entryOf("a", 2, "?")}})
+	k.MarkUnstable(now)
 	k.SetTargets(now, 3, nil)
 	if got := inUse(k); got != "b@1" {
 		t.Errorf("%q, want only what was good to lapse", got)
 	}
 }
 
-// newestOf returns the newest incarnation of a target that events tell of.
+// newestOf returns the newest incarnation of a target in events.
 func newestOf(events []catalog.Change, name string) int64 {
 	newest := int64(0)
 	for _, e := range events {
@@ -136,9 +136,9 @@
 	return newest
 }
 
-// TestIncarnationsAgree plays a store whose entries start again, are spoilt and written
-// late by processes that are gone, and routers that hear of it from the store and from
-// one another in any order.
+// TestIncarnationsAgree checks that no router goes back to an older incarnation of a target. Targets
+// restart, entries become unusable and are written late by processes that have ended, and the
+// routers receive all this from the store and from each other in any order.
 func TestIncarnationsAgree(t *testing.T) {
 	const routers = 3
 	names := []string{"a", "b"}
@@ -148,7 +148,7 @@
 		known := make([]*catalog.Catalog, routers)
 		newest := make([]map[string]int64, routers)
 		for i := range known {
-			known[i] = catalog.New(bornCodec{}, drainTime, silenceTime)
+			known[i] = catalog.New(bornCodec{}, drainPeriod, entryTTL)
 			newest[i] = map[string]int64{}
 		}
 		held := func(revision int64) map[string]catalog.Change {
@@ -161,13 +161,13 @@
 		router := rapid.IntRange(0, routers-1)
 		seen := make([]int64, routers)
 		check := func(i int) {
-			// An entry that went leaves nothing to compare with.
-			for _, e := range events[min(seen[i], known[i].Revision()):known[i].Revision()] {
+			// After the removal of an entry any incarnation may follow.
+			for _, e := range events[min(seen[i], known[i].TargetsRevision()):known[i].TargetsRevision()] {
 				if e.Gone {
 					delete(newest[i], e.Name)
 				}
 			}
-			seen[i] = known[i].Revision()
+			seen[i] = known[i].TargetsRevision()
 			now := map[string]int64{}
 			for _, target := range known[i].Targets() {
 				if last := newest[i][target.ID]; target.Born < last {
@@ -175,7 +175,7 @@
 				}
 				now[target.ID] = target.Born
 			}
-			for name, e := range held(known[i].Revision()) {
+			for name, e := range held(known[i].TargetsRevision()) {
 				born, used := now[name]
 				bad := e.Gone || string(e.Value) == "?"
 				if bad && used {
@@ -185,9 +185,9 @@
 					continue
 				}
 				says, _ := strconv.ParseInt(string(e.Value), 10, 64)
-				// A late write of an older incarnation may be all that the store holds, and a
-				// router need not hear that an entry went in between.
-				if !used && says >= newestOf(events[:known[i].Revision()], name) {
+				// The store may hold only a late write of an older incarnation, and a router may
+				// have missed that the entry was removed in between.
+				if !used && says >= newestOf(events[:known[i].TargetsRevision()], name) {
 					t.Fatalf("router %d does not use %s@%d", i, name, says)
 				}
 				if used && born < says {
@@ -206,12 +206,12 @@
 			},
 			"watch": func(t *rapid.T) {
 				i := router.Draw(t, "router")
-				from := known[i].Revision()
+				from := known[i].TargetsRevision()
 				if from == int64(len(events)) {
 					return
 				}
 				to := rapid.Int64Range(from+1, int64(len(events))).Draw(t, "to")
-				known[i].Apply(now, to, slices.Clone(events[from:to]))
+				known[i].ApplyTargets(now, to, slices.Clone(events[from:to]))
 				for _, e := range events[from:to] {
 					born, err := strconv.ParseInt(string(e.Value), 10, 64)
 					switch {
@@ -236,7 +236,7 @@
 			},
 			"copy": func(t *rapid.T) {
 				from, to := known[router.Draw(t, "from")], known[router.Draw(t, "to")]
-				to.Take(now, from.Copy(now, message.NeedCopy{Targets: to.Revision()}))
+				to.Merge(now, from.Copy(now, message.NeedCopy{Targets: to.TargetsRevision()}))
 			},
 			"": func(*rapid.T) {
 				for i := range known {
@@ -247,30 +247,31 @@
 	})
 }
 
-// A router that knew a later incarnation ignored a late write of an older one, and left
-// it out when it told another router what was new, which then went on with an older one
-// still: "router 1 uses b@1 though 2 is known".
+// Guards against a fault in which a router that knew a later incarnation ignored a late write of an
+// older one, and also left it out of copies for other routers. Such a router then kept using an even
+// older incarnation: "router 1 uses b@1 though 2 is known".
 func TestLateWriteIsPassedOn(t *testing.T) {
 	now := time.Unix(1000, 0)
-	knows, behind := catalog.New(bornCodec{}, drainTime, silenceTime), catalog.New(bornCodec{}, drainTime, silenceTime)
-	knows.Apply(now, 1, []catalog.Change{{StoredObject: entryOf("b", 1, "3")}})
-	behind.Apply(now, 3, []catalog.Change{{StoredObject: entryOf("b", 3, "1")}})
-	knows.Apply(now, 4, []catalog.Change{{StoredObject: entryOf("b", 4, "2")}})
-	behind.Take(now, knows.Copy(now, message.NeedCopy{Targets: behind.Revision()}))
+	knows, behind := catalog.New(bornCodec{}, drainPeriod, entryTTL), catalog.New(bornCodec{}, drainPeriod, entryTTL)
+	knows.ApplyTargets(now, 1, []catalog.Change{{StoredObject: entryOf("b", 1, "3")}})
+	behind.ApplyTargets(now, 3, []catalog.Change{{StoredObject: entryOf("b", 3, "1")}})
+	knows.ApplyTargets(now, 4, []catalog.Change{{StoredObject: entryOf("b", 4, "2")}})
+	behind.Merge(now, knows.Copy(now, message.NeedCopy{Targets: behind.TargetsRevision()}))
 	if got := inUse(knows) + " " + inUse(behind); got != "b@3 b@2" {
 		t.Errorf("%q, want each to keep the newest life that it knows", got)
 	}
 }
 
-// Late writes of processes before were taken for a new one where the entry had gone and a bad one
-// came between: the bad one was remembered as that of no process at all.
+// Guards against a fault in which a late write of an earlier process passed for a new incarnation
+// after the entry had been removed and an unusable one had followed, since the unusable one was
+// remembered without a start time.
 func TestOlderLivesAfterAnEntryWent(t *testing.T) {
-	k := catalog.New(bornCodec{}, drainTime, silenceTime)
+	k := catalog.New(bornCodec{}, drainPeriod, entryTTL)
 	k.SetTargets(time.Time{}, 1, []message.StoredObject{entryOf("a", 1, "3")})
 	k.SetTargets(time.Time{}, 2, nil)
 	for i, born := range []string{"2", "?", "1"} {
 		revision := int64(3 + i)
-		k.Apply(time.Time{}, revision, []catalog.Change{{StoredObject: entryOf("a", revision, born)}})
+		k.ApplyTargets(time.Time{}, revision, []catalog.Change{{StoredObject: entryOf("a", revision, born)}})
 	}
 	if got := inUse(k); got != "" {
 		t.Errorf("%q is used", got)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -32,10 +32,11 @@
 // Options are the fixed parameters of a State.
 type Options struct {
 	Self member.Member
-	// Period is the time between two reports.
-	Period time.Duration
-	// Timeout is the time without a message after which a router counts as dead.
-	Timeout time.Duration
+	// ReportPeriod is the time between two reports.
+	ReportPeriod time.Duration
+	// RouterTimeout is the time without a message after which a router counts as
+	// dead.
+	RouterTimeout time.Duration
 	// MaxWaiting bounds the requests queued at this router.
 	MaxWaiting int
 	// ViewDelay delays the use of reports received, for experiments.
@@ -63,7 +64,8 @@
 	leaving        bool
 	closed         bool
 	delayedReports []delayedReport
-	owners         map[string]message.RouterID
+	// owners maps each engine to the router that owns it.
+	owners map[string]message.RouterID
 	// remoteOwners lists the other routers that own engines of a pool, by pool. A
 	// router is listed once for each engine that it owns.
 	remoteOwners map[string][]message.RouterID
@@ -79,8 +81,10 @@
 
 // activeRequest is a request that this router has sent to an engine.
 type activeRequest struct {
-	owner  member.Member
-	use    place.Allocation
+	// owner is the router that owned the engine when the request got its slot.
+	owner      member.Member
+	allocation place.Allocation
+	// remote is set if owner is another router.
 	remote bool
 	// substituted is set if the slot was granted for one organisation and this
 	// router used it for another. The latter is charged here and not by the owner.
@@ -94,7 +98,9 @@
 	slot        uint64
 }
 
-func (r *activeRequest) key() slotKey { return slotKey{r.owner.ID, r.owner.Incarnation, r.use.Slot} }
+func (r *activeRequest) key() slotKey {
+	return slotKey{r.owner.ID, r.owner.Incarnation, r.allocation.Slot}
+}
 
 // delayedReport is a report that is used only after Options.ViewDelay.
 type delayedReport struct {
@@ -109,7 +115,7 @@
 		options:         o,
 		random:          r,
 		outlet:          outlet,
-		members:         member.New(o.Self, o.Timeout, now),
+		members:         member.New(o.Self, o.RouterTimeout, now),
 		view:            fleetview.New(r),
 		slots:           place.New(uint64(r.Uint32()) << 24),
 		pools:           map[string]*pool{},
@@ -219,17 +225,17 @@
 	p.running[t.Organisation()]--
 	p.learnCost(t.Organisation(), t.Hint(), end)
 	if !r.remote {
-		s.release(r.use.Slot, t.Organisation(), end, now)
+		s.release(r.allocation.Slot, t.Organisation(), end, now)
 		s.dispatch(p, now)
 		return
 	}
-	cost := p.finalCost(end, now.Sub(r.use.Since))
+	cost := p.finalCost(end, now.Sub(r.allocation.Since))
 	if r.substituted {
-		p.charge(t.Organisation(), cost-r.use.Charged)
+		p.charge(t.Organisation(), cost-r.allocation.Charged)
 	}
 	delete(s.remoteSlots, r.key())
 	s.outlet.Send(r.owner, message.Done{
-		Slot:         r.use.Slot,
+		Slot:         r.allocation.Slot,
 		Organisation: t.Organisation(),
 		Cost:         end.Cost,
 		Waiting:      p.queue.Len(t.Organisation()),
@@ -260,17 +266,17 @@
 	return p
 }
 
-// Loaded records the load that an engine reported.
-func (s *State) Loaded(engine string, load port.EngineLoad, now time.Time) {
+// RecordLoad records the load that an engine reported.
+func (s *State) RecordLoad(engine string, load port.EngineLoad, now time.Time) {
 	s.slots.RecordLoad(engine, load, now)
 	s.dispatchAll(now)
 }
 
-// Unreachable records that an engine did not answer.
-func (s *State) Unreachable(engine string) { s.slots.MarkUnreachable(engine) }
+// MarkUnreachable records that an engine did not answer.
+func (s *State) MarkUnreachable(engine string) { s.slots.MarkUnreachable(engine) }
 
-// Owned returns the boxes of the engines that this router owns.
-func (s *State) Owned() []config.Box { return s.slots.Owned() }
+// OwnedEngines returns the boxes of the engines that this router owns.
+func (s *State) OwnedEngines() []config.Box { return s.slots.Owned() }
 
 // Leave starts a planned shutdown: this router hands its engines over to others
 // and its address is no longer given to callers, but it still serves callers
@@ -278,7 +284,7 @@
 func (s *State) Leave(now time.Time) {
 	s.leaving = true
 	s.members.MarkLeaving()
-	s.Report(now)
+	s.SendReport(now)
 	s.updateOwners(now)
 	s.reportForeign(now)
 }
@@ -290,9 +296,9 @@
 // Idle reports whether no request waits or runs.
 func (s *State) Idle() bool { return s.waiting == 0 && len(s.running) == 0 }
 
-// Members returns the routers whose addresses callers may be given: those alive
+// LiveRouters returns the routers whose addresses callers may be given: those alive
 // and not leaving, this router included.
-func (s *State) Members(now time.Time) []member.Member { return s.members.Live(now) }
+func (s *State) LiveRouters(now time.Time) []member.Member { return s.members.Live(now) }
 
 // Lookup returns another router by its ID, if it is alive.
 func (s *State) Lookup(id message.RouterID, now time.Time) (member.Member, bool) {
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -23,7 +23,7 @@
 // counting is a sender that counts what it is to send.
 type counting struct{ sends atomic.Int64 }
 
-func (*counting) Ended(context.Context, string, string) bool { return false }
+func (*counting) ProcessExited(context.Context, string, string) bool { return false }
 
 func (s *counting) Send(context.Context, string, httptarget.Request) (*httptarget.Answer, error) {
 	s.sends.Add(1)
@@ -36,7 +36,7 @@
 	n atomic.Int64
 }
 
-func (c *counted) Ended(forward.Request, forward.Verdict, time.Duration) { c.n.Add(1) }
+func (c *counted) Ended(forward.Request, forward.Result, time.Duration) { c.n.Add(1) }
 
 var _ = Describe("A caller that left before its request was read", func() {
 	It("has nothing sent for it", func() {
