--- a/internal/balance/advice.go
+++ b/internal/balance/advice.go
@@ -118,16 +118,16 @@
 }
 
 // SentAgainstAdvice returns these counts since the start.
-func (s *State) SentAgainstAdvice() SentAgainstAdvice { return s.against }
+func (s *State) SentAgainstAdvice() SentAgainstAdvice { return s.sentAgainstAdvice }
 
 // noteSent counts a request that is sent in spite of what its target reported, and makes the
 // first one after a backoff the target's probe.
 func (s *State) noteSent(now time.Time, t *Ticket, to *target) {
 	if to.reported.Leaving() {
-		s.against.Leaving++
+		s.sentAgainstAdvice.Leaving++
 	}
 	if to.backingOff(now) {
-		s.against.BackingOff++
+		s.sentAgainstAdvice.BackingOff++
 	}
 	if !to.reported.BackoffUntil().IsZero() {
 		to.probe = t
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -114,21 +114,21 @@
 	health
 	// running holds this router's requests that were sent to the target and have not ended.
 	running map[*Ticket]struct{}
-	// waiting holds this router's requests that the target has not started to answer, oldest
+	// unstarted holds this router's requests that the target has not started to answer, oldest
 	// first.
-	waiting []*Ticket
+	unstarted []*Ticket
 	// coldUntil is the latest time at which the target is still cold, recent counts the
 	// requests sent to it lately.
-	coldUntil time.Time
-	recent    coldstart.Window
+	coldUntil   time.Time
+	recentSends coldstart.Window
 	// serviceTime is the average time of requests that found a free slot; 0 if unknown.
 	serviceTime time.Duration
 	// reported is what the target reported about itself in its answers; nil if nothing.
 	reported *advice.Record
 	// probe is the first request sent after a backoff, until the target takes it.
 	probe *Ticket
-	// consecutiveRefusals is the number of consecutive requests that the target rejected
-	// without asking for a backoff.
+	// consecutiveRefusals is the number of requests in a row that the target rejected without
+	// asking for a backoff.
 	consecutiveRefusals int
 }
 
@@ -158,16 +158,17 @@
 	// good, suspect, near and missing are scratch space for choosing a target.
 	good, suspect, near []*target
 	missing             []int
-	// notify is called with loads that other routers should learn at once; nil if not set.
-	notify        func(target string, now, added view.Load)
-	notifyLimiter notifyLimiter
+	// onLongPrompt is called with loads that other routers should learn at once; nil if not
+	// set.
+	onLongPrompt      func(target string, now, added view.Load)
+	longPromptLimiter notifyLimiter
 	// coldAllowance returns how many requests this router may send to a cold target in a
 	// second; a nil function allows none. coldSkips counts how often a target was skipped for
 	// that.
-	coldAllowance func(now time.Time, target string, r coldstart.Rate) int
-	coldSkips     int64
-	advice        advice.Records
-	against       SentAgainstAdvice
+	coldAllowance     func(now time.Time, target string, r coldstart.Rate) int
+	coldSkips         int64
+	advice            advice.Records
+	sentAgainstAdvice SentAgainstAdvice
 	// backoffs counts the backoffs that this router started without a target having asked for
 	// one.
 	backoffs int64
@@ -176,17 +177,17 @@
 // New returns the state of a router in an availability zone, without any targets.
 func New(now time.Time, zone string, limits Limits, random *rand.Rand) *State {
 	return &State{
-		zone:          zone,
-		limits:        limits,
-		random:        random,
-		targets:       map[string]*target{},
-		services:      map[string][]*target{},
-		paces:         map[string]*pace.Model{},
-		throttle:      throttle.New(tickInterval, maxWaitingPerOrganisation),
-		shares:        newShares(limits.QuotaWindow),
-		peers:         view.New(now, limits.QuotaWindow),
-		notifyLimiter: notifyLimiter{remaining: 1, updated: now},
-		budget:        budget{start: now, histories: map[string]*history{}},
+		zone:              zone,
+		limits:            limits,
+		random:            random,
+		targets:           map[string]*target{},
+		services:          map[string][]*target{},
+		paces:             map[string]*pace.Model{},
+		throttle:          throttle.New(tickInterval, maxWaitingPerOrganisation),
+		shares:            newShares(limits.QuotaWindow),
+		peers:             view.New(now, limits.QuotaWindow),
+		longPromptLimiter: notifyLimiter{remaining: 1, updatedAt: now},
+		budget:            budget{start: now, histories: map[string]*history{}},
 	}
 }
 
@@ -283,17 +284,17 @@
 	t.load = view.Load{PendingTokens: p.uncachedTokens, Running: 1, MemoryTokens: t.unsharedTokens()}
 	t.work = p.work
 	to.localLoad = to.localLoad.Plus(t.load)
-	to.waiting = append(to.waiting, t)
+	to.unstarted = append(to.unstarted, t)
 	to.running[t] = struct{}{}
 	to.cache.Add(now, t.Parts)
-	to.recent.Add(now)
+	to.recentSends.Add(now)
 	s.noteSent(now, t, to)
 	if t.Engine {
 		s.shares.addServed(now, t.Organisation, t.tokens())
 		s.throttle.RecordSent(t.Organisation, t.size())
 	}
-	if s.notify != nil && s.notifyLimiter.allow(now, p.uncachedTokens, s.servingPeers+1) {
-		s.notify(to.incarnation, to.localLoad, t.load)
+	if s.onLongPrompt != nil && s.longPromptLimiter.allow(now, p.uncachedTokens, s.servingPeers+1) {
+		s.onLongPrompt(to.incarnation, to.localLoad, t.load)
 	}
 	d := Decision{Target: to.Target, Waited: now.Sub(t.Arrived), PendingTokens: s.loadOf(now, to).PendingTokens, UncachedTokens: p.uncachedTokens}
 	if p.source != nil {
@@ -364,8 +365,8 @@
 }
 
 func (t *target) forget(k *Ticket) {
-	if i := slices.Index(t.waiting, k); i >= 0 {
-		t.waiting = slices.Delete(t.waiting, i, i+1)
+	if i := slices.Index(t.unstarted, k); i >= 0 {
+		t.unstarted = slices.Delete(t.unstarted, i, i+1)
 	}
 }
 
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -94,13 +94,13 @@
 }
 
 // advance moves the time forward.
-func (w *world) pass(d time.Duration) {
+func (w *world) advance(d time.Duration) {
 	w.now = w.now.Add(d)
 	w.Tick(w.now)
 }
 
 // complete runs a ticket to its successful end.
-func (w *world) serve(t *balance.Ticket) {
+func (w *world) complete(t *balance.Ticket) {
 	w.Started(w.now, t)
 	w.Ended(w.now, t, balance.Answered)
 }
@@ -110,11 +110,11 @@
 		w := newWorld(5)
 		first := w.prompt("o", "shared", 100)
 		home := w.arrive(first).Target.ID
-		w.serve(first)
+		w.complete(first)
 		for range 10 {
 			t := w.prompt("o", "shared", 100)
 			Expect(w.arrive(t).Target.ID).To(Equal(home))
-			w.serve(t)
+			w.complete(t)
 		}
 	})
 
@@ -123,8 +123,8 @@
 		for i := range 20 {
 			shared := fmt.Sprint("s", i)
 			Expect(a.arrive(a.prompt("o", shared, 10)).Target.ID).To(Equal(b.arrive(b.prompt("o", shared, 10)).Target.ID))
-			a.pass(time.Second)
-			b.pass(time.Second)
+			a.advance(time.Second)
+			b.advance(time.Second)
 		}
 	})
 
@@ -152,21 +152,21 @@
 			}
 		}
 		w.SetTargets(w.now, list)
-		w.pass(300 * time.Millisecond)
+		w.advance(300 * time.Millisecond)
 		used := map[string]time.Duration{}
 		for range 6 {
 			d := w.arrive(w.plain())
 			used[d.Target.ID] = d.LapsedFor
 		}
 		Expect(used).To(Equal(map[string]time.Duration{"p0": 300 * time.Millisecond, "p1": 0}))
-		w.pass(time.Second)
+		w.advance(time.Second)
 		for range 5 {
 			Expect(w.arrive(w.prompt("o", "s", 10)).Target.ID).To(Equal("e1"))
 		}
 		t := w.plain()
 		t.Tried = []string{"p1"}
 		Expect(w.arrive(t)).To(BeNil())
-		w.pass(time.Second)
+		w.advance(time.Second)
 		Expect(decision(t).Refused).To(Equal(balance.Full))
 	})
 
@@ -177,7 +177,7 @@
 		}
 		last := w.plain()
 		Expect(w.arrive(last)).To(BeNil())
-		w.pass(25 * time.Millisecond)
+		w.advance(25 * time.Millisecond)
 		Expect(decision(last).Refused).To(Equal(balance.Full))
 	})
 
@@ -185,7 +185,7 @@
 		w := newWorld(0)
 		t := w.plain()
 		w.Arrive(w.now, t)
-		w.pass(time.Second)
+		w.advance(time.Second)
 		d := decision(t)
 		Expect(d.Refused).To(Equal(balance.NoTarget))
 		Expect(d.RetryAfter).To(BeNumerically(">", 0))
@@ -221,9 +221,9 @@
 		for range 100 {
 			t := w.prompt("o", "other", 1000)
 			w.Arrive(w.now, t)
-			w.serve(t)
+			w.complete(t)
 		}
-		w.pass(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 		_, away := fill(w, "o")
 		Expect(away).To(BeNil())
 	})
@@ -245,7 +245,7 @@
 				if w.arrive(t).Target.Zone == "far" {
 					far[shared]++
 				}
-				w.serve(t)
+				w.complete(t)
 			}
 		}
 		Expect(far[200]).To(BeZero())
@@ -269,7 +269,7 @@
 				if w.arrive(t).Target.Zone == "far" {
 					far[own]++
 				}
-				w.serve(t)
+				w.complete(t)
 			}
 		}
 		Expect(far[1800]).To(BeZero())
@@ -280,8 +280,8 @@
 		w := newWorld(2)
 		first := w.prompt("o", "shared", 1000)
 		home := w.arrive(first).Target
-		w.serve(first)
-		w.pass(time.Minute)
+		w.complete(first)
+		w.advance(time.Minute)
 		list := targets(2)
 		for i := range list {
 			list[i].Leaving = list[i].ID == home.ID
@@ -300,12 +300,12 @@
 		for range 5 {
 			t := w.prompt("o", "s", 10)
 			Expect(w.arrive(t).Target.ID).NotTo(Equal(bad))
-			w.serve(t)
+			w.complete(t)
 		}
-		w.pass(time.Second)
+		w.advance(time.Second)
 		Eventually(func() string {
 			t := w.prompt("o", "s", 10)
-			defer w.serve(t)
+			defer w.complete(t)
 			return w.arrive(t).Target.ID
 		}).Should(Equal(bad))
 	})
@@ -313,7 +313,7 @@
 	It("is avoided if it makes no progress", func() {
 		w := newWorld(2)
 		silent := w.arrive(w.prompt("o", "s", 10)).Target.ID
-		w.pass(time.Second)
+		w.advance(time.Second)
 		Expect(w.arrive(w.prompt("o", "s", 10)).Target.ID).NotTo(Equal(silent))
 	})
 })
@@ -325,8 +325,8 @@
 		for range 200 {
 			t := w.prompt("large", "known", 800)
 			if d := w.arrive(t); d != nil {
-				w.pass(20 * time.Millisecond)
-				w.serve(t)
+				w.advance(20 * time.Millisecond)
+				w.complete(t)
 			}
 		}
 		for range 10 {
@@ -378,7 +378,7 @@
 			w := newWorld(1)
 			w.SetReportPeriod(c.period)
 			w.ApplyReport(w.now, "r", reportOver(view.Usage{Demand: 1, Started: 1, Waiting: 1}))
-			w.pass(c.age)
+			w.advance(c.age)
 			Expect(w.arrive(w.prompt("large", "s", 1000)) == nil).To(Equal(c.counts), name)
 		}
 	})
@@ -388,7 +388,7 @@
 			w := newWorld(1)
 			w.ApplyReport(w.now, "r", reportOver(view.Usage{Demand: had * tokensPerSecond, Started: had * tokensPerSecond, Waiting: 1}))
 			// Expired reports are looked for once in 20 ms.
-			w.pass(25 * time.Millisecond)
+			w.advance(25 * time.Millisecond)
 			Expect(w.arrive(w.prompt("large", "s", 1000)) == nil).To(Equal(waits), "other organisation was served %g, large 10", had)
 		}
 	})
@@ -398,7 +398,7 @@
 		w.ApplyReport(w.now, "r", reportOver(view.Usage{Demand: 1, Started: 1, Waiting: 1}))
 		t := w.prompt("small", "s", 1000)
 		Expect(w.arrive(t)).NotTo(BeNil())
-		w.serve(t)
+		w.complete(t)
 		Expect(w.arrive(w.prompt("small", "s", 1000))).NotTo(BeNil(), "was served 7,100 tokens and the other 1")
 	})
 })
@@ -406,16 +406,16 @@
 var _ = Describe("A long prompt", func() {
 	It("is announced at once, and other routers avoid its engine", func() {
 		here, there := newWorld(2), newWorld(2)
-		var told []string
+		var announced []string
 		here.OnLongPrompt(func(target string, l, _ view.Load) {
-			told = append(told, target)
+			announced = append(announced, target)
 			there.SetPeerLoad(there.now, "here", target, l)
 		})
 		there.ApplyReport(there.now, "here", here.Report(here.now))
 		Expect(here.arrive(here.unshared("o", 10))).NotTo(BeNil())
-		Expect(told).To(BeEmpty())
+		Expect(announced).To(BeEmpty())
 		long := here.arrive(here.unshared("o", 4000))
-		Expect(told).To(Equal([]string{long.Target.ID}))
+		Expect(announced).To(Equal([]string{long.Target.ID}))
 		for range 5 {
 			Expect(there.arrive(there.unshared("o", 10)).Target.ID).NotTo(Equal(long.Target.ID))
 		}
@@ -428,23 +428,23 @@
 	second := func(serving, tokens int) int {
 		w := newWorld(8)
 		w.SetPeers(serving, serving)
-		told := 0
-		w.OnLongPrompt(func(string, view.Load, view.Load) { told++ })
+		announced := 0
+		w.OnLongPrompt(func(string, view.Load, view.Load) { announced++ })
 		for range 100 {
-			w.pass(10 * time.Millisecond)
+			w.advance(10 * time.Millisecond)
 			t := w.unshared("", tokens)
 			if w.arrive(t) != nil {
-				w.serve(t)
+				w.complete(t)
 			}
 		}
-		return told
+		return announced
 	}
 
 	It("become rarer the more routers receive them, and longer prompts keep theirs", func() {
-		few, many := second(7, 4000), second(41, 4000)
-		Expect(few).To(BeNumerically(">", 2*many))
-		Expect(many).To(BeNumerically("<=", 2*250/42))
-		Expect(second(41, 30_000)).To(BeNumerically(">", many))
+		small, large := second(7, 4000), second(41, 4000)
+		Expect(small).To(BeNumerically(">", 2*large))
+		Expect(large).To(BeNumerically("<=", 2*250/42))
+		Expect(second(41, 30_000)).To(BeNumerically(">", large))
 		Expect(second(41, 900)).To(BeZero())
 	})
 })
@@ -458,7 +458,7 @@
 		for range 100 {
 			t := w.plain()
 			if w.arrive(t) != nil {
-				w.serve(t)
+				w.complete(t)
 			}
 		}
 		retries := 0
@@ -467,7 +467,7 @@
 			if w.Retry(w.now, t) {
 				retries++
 				if decision(t) != nil {
-					w.serve(t)
+					w.complete(t)
 				}
 			}
 		}
@@ -502,13 +502,13 @@
 			t := w.plain()
 			ok := w.Retry(w.now, t)
 			if ok {
-				w.serve(t)
+				w.complete(t)
 			}
 			return ok
 		}
 		for retry() {
 		}
-		w.pass(limits.RetryWindow + time.Second)
+		w.advance(limits.RetryWindow + time.Second)
 		Expect(retry()).To(BeTrue())
 	})
 })
--- a/internal/balance/bench_test.go
+++ b/internal/balance/bench_test.go
@@ -17,19 +17,19 @@
 		b.Run(name, func(b *testing.B) {
 			RegisterTestingT(b)
 			w := newWorld(60)
-			hear := func() {
-				for r := range routers {
-					report := view.Report{Loads: map[string]view.Load{}, Usage: map[string]view.Usage{}}
+			report := func() {
+				for router := range routers {
+					r := view.Report{Loads: map[string]view.Load{}, Usage: map[string]view.Usage{}}
 					for i := range 60 {
-						report.Loads[fmt.Sprint("e", i)] = view.Load{PendingTokens: 200, Running: 1}
+						r.Loads[fmt.Sprint("e", i)] = view.Load{PendingTokens: 200, Running: 1}
 					}
 					for i := range 30 {
-						report.Usage[fmt.Sprint("o", i)] = view.Usage{Demand: 1000, Started: 1000}
+						r.Usage[fmt.Sprint("o", i)] = view.Usage{Demand: 1000, Started: 1000}
 					}
-					w.ApplyReport(w.now, fmt.Sprint("r", r), report)
+					w.ApplyReport(w.now, fmt.Sprint("r", router), r)
 				}
 			}
-			hear()
+			report()
 			b.ResetTimer()
 			for i := range b.N {
 				t := w.prompt("o1", fmt.Sprint("s", i%260), 3000)
@@ -39,7 +39,7 @@
 					w.Tick(w.now)
 				}
 				if i%600 == 0 {
-					hear()
+					report()
 				}
 			}
 		})
--- a/internal/balance/box_test.go
+++ b/internal/balance/box_test.go
@@ -25,29 +25,29 @@
 	// acceptCost is the processor time to accept and close a connection. inspectCost is added
 	// until its request is inspected; earlyRefusalCost is added instead if it is refused
 	// before the HTTP server gets the connection.
-	acceptCost, lookCost, earlyCost = 30 * time.Microsecond, 30 * time.Microsecond, 15 * time.Microsecond
+	acceptCost, inspectCost, earlyRefusalCost = 30 * time.Microsecond, 30 * time.Microsecond, 15 * time.Microsecond
 	// maxListenBacklog is the number of connections that the kernel of a small box queues
 	// before they are accepted, and connectTimeout how long a caller waits to get into that
 	// queue.
-	listenMost  = 320
-	connectMost = time.Second
+	maxListenBacklog = 320
+	connectTimeout   = time.Second
 	// maxAcceptsInRow is the number of connections accepted in a row before other goroutines
 	// get the processor: a goroutine that never blocks runs for some 10 ms.
-	turnsMost = 222
+	maxAcceptsInRow = 222
 	// reconnectTime is the time that a rejected caller takes to connect again.
-	connectTime = 4 * time.Millisecond
+	reconnectTime = 4 * time.Millisecond
 	// tickCost is the processor time of an iteration of the control loop.
 	tickCost = 20 * time.Microsecond
 	// parsePercent is the part of requestCost that is spent before the request is decided on.
-	readShare = 60
+	parsePercent = 60
 	// eventGap is the time between an engine's events.
 	eventGap = 50 * time.Millisecond
 	// readTime is the time that an engine takes to read a prompt.
 	readTime = 100 * time.Millisecond
 	// maxCoalesceMillis is the longest time for which events are coalesced, in milliseconds.
-	coalesceMost = 100
+	maxCoalesceMillis = 100
 	// bestServedRate is what another organisation is served meanwhile, in tokens a second.
-	bestServed = 1_097_000
+	bestServedRate = 1_097_000
 )
 
 // kind is a kind of request: its relative frequency, the tokens of its prompt and answer, and
@@ -67,8 +67,8 @@
 
 // second counts the requests that arrived within a second, and their tokens.
 type second struct {
-	asked, got         float64
-	requests, unserved int
+	demand, served    float64
+	requests, refused int
 }
 
 // event is an action at a point in time; job is work that waits for the processor.
@@ -115,24 +115,24 @@
 	// contended is set if the control loop competes for the processor with everything else.
 	// longestWait is the longest time that a request waited for the processor before it was
 	// decided on.
-	late    bool
-	backlog backlog.Queue
-	longest time.Duration
+	contended   bool
+	backlog     backlog.Queue
+	longestWait time.Duration
 	// listenBacklog holds the connections that were not accepted yet.
-	kernel    []arrival
-	accepting bool
+	listenBacklog []arrival
+	accepting     bool
 	// impatient is the fraction of callers that ignore Retry-After when they are refused, and
 	// instead reconnect at once, maxReconnects times.
-	heedless float64
+	impatient float64
 }
 
 // arrival is a connection that waits to be accepted, and what to do when its request is
 // refused or admitted.
 type arrival struct {
-	kind    kind
-	came    time.Time
-	refused func()
-	taken   func(came time.Time)
+	kind      kind
+	arrivedAt time.Time
+	refused   func()
+	admitted  func(arrived time.Time)
 }
 
 // newBox returns a box that no caller has used yet.
@@ -182,13 +182,13 @@
 
 // run simulates callers that arrive at the given rates, in requests a second, each rate for
 // the given time. It returns the counts of each second.
-func (b *box) play(rates []float64, each time.Duration) []second {
+func (b *box) run(rates []float64, each time.Duration) []second {
 	total := time.Duration(len(rates)) * each
 	b.seconds = make([]second, int(total/time.Second)+1)
 	rate := func() float64 { return rates[min(int(b.now.Sub(b.start)/each), len(rates)-1)] }
 	var callers func()
 	callers = func() {
-		b.come(b.draw(), 1)
+		b.arrive(b.drawKind(), 1)
 		b.after(time.Duration(b.random.ExpFloat64()/rate()*float64(time.Second)), callers)
 	}
 	callers()
@@ -203,8 +203,8 @@
 
 // workInLoop runs a step of the control loop: queued for the processor if the loop is
 // contended, else at once.
-func (b *box) waitFor(cost time.Duration, do func()) {
-	if !b.late {
+func (b *box) workInLoop(cost time.Duration, do func()) {
+	if !b.contended {
 		do()
 		return
 	}
@@ -219,11 +219,11 @@
 		used, looked = b.used, b.now
 	}
 	b.gates = b.gatesAt(b.now)
-	b.after(tickInterval, func() { b.waitFor(tickCost, func() { b.tick(n+1, used, looked) }) })
+	b.after(tickInterval, func() { b.workInLoop(tickCost, func() { b.tick(n+1, used, looked) }) })
 }
 
 // drawKind returns a random kind of request.
-func (b *box) draw() kind {
+func (b *box) drawKind() kind {
 	total := 0
 	for _, k := range kinds {
 		total += k.weight
@@ -238,26 +238,26 @@
 }
 
 // arrive simulates a request whose caller retries so many times if it is refused.
-func (b *box) come(k kind, again int) {
+func (b *box) arrive(k kind, again int) {
 	b.requests++
 	s := &b.seconds[b.now.Sub(b.start)/time.Second]
-	s.asked += k.tokens()
+	s.demand += k.tokens()
 	s.requests++
 	refuse := func() {
-		s.unserved++
+		s.refused++
 		if again > 0 {
-			b.after(time.Second+time.Duration(b.random.Int64N(int64(time.Second))), func() { b.come(k, again-1) })
+			b.after(time.Second+time.Duration(b.random.Int64N(int64(time.Second))), func() { b.arrive(k, again-1) })
 		}
 	}
-	returns := 0
-	if b.random.Float64() < b.heedless {
-		returns = returnsMost
+	reconnects := 0
+	if b.random.Float64() < b.impatient {
+		reconnects = maxReconnects
 	}
-	read := func(came time.Time) { b.read(k, came, s, refuse) }
+	read := func(arrived time.Time) { b.parse(k, arrived, s, refuse) }
 	switch {
-	case b.late:
-		b.connect(returns, arrival{kind: k, refused: refuse, taken: read})
-	case !b.reads(k):
+	case b.contended:
+		b.connect(reconnects, arrival{kind: k, refused: refuse, admitted: read})
+	case !b.admits(k):
 		b.work(refusalCost, refuse)
 	default:
 		read(b.now)
@@ -266,87 +266,87 @@
 
 // connect simulates a caller's connection. If it is refused, the caller reconnects at once, so
 // many times.
-func (b *box) connect(returns int, a arrival) {
-	if returns > 0 {
+func (b *box) connect(reconnects int, a arrival) {
+	if reconnects > 0 {
 		wait := a
-		a.refused = func() { b.after(connectTime, func() { b.connect(returns-1, wait) }) }
+		a.refused = func() { b.after(reconnectTime, func() { b.connect(reconnects-1, wait) }) }
 	}
-	if len(b.kernel) == listenMost {
-		b.after(connectMost, a.refused)
+	if len(b.listenBacklog) == maxListenBacklog {
+		b.after(connectTimeout, a.refused)
 		return
 	}
-	a.came = b.now
-	b.kernel = append(b.kernel, a)
+	a.arrivedAt = b.now
+	b.listenBacklog = append(b.listenBacklog, a)
 	if !b.accepting {
 		b.accepting = true
-		b.work(acceptCost, func() { b.accept(turnsMost) })
+		b.work(acceptCost, func() { b.accept(maxAcceptsInRow) })
 	}
 }
 
 // accept simulates the goroutine that accepts connections. It accepts so many in a row before
 // others get the processor.
 func (b *box) accept(turns int) {
-	a := b.kernel[0]
-	b.kernel = b.kernel[1:]
+	a := b.listenBacklog[0]
+	b.listenBacklog = b.listenBacklog[1:]
 	cost, refuse := time.Duration(0), func() {}
-	place := b.backlog.Enqueue(b.now, b.short())
-	if place != nil && b.gates != nil && !b.reads(a.kind) {
+	place := b.backlog.Enqueue(b.now, b.overloaded())
+	if place != nil && b.gates != nil && !b.admits(a.kind) {
 		b.backlog.Remove(place)
 		place = nil
 	}
 	if place == nil {
-		cost, refuse = earlyCost, a.refused
+		cost, refuse = earlyRefusalCost, a.refused
 	} else {
-		b.work(lookCost, func() { b.look(place, a) })
+		b.work(inspectCost, func() { b.inspect(place, a) })
 	}
-	b.accepting = len(b.kernel) > 0
+	b.accepting = len(b.listenBacklog) > 0
 	switch {
 	case !b.accepting:
-		b.first(cost, refuse)
+		b.workFirst(cost, refuse)
 	case turns > 1:
-		b.first(cost+acceptCost, func() { refuse(); b.accept(turns - 1) })
+		b.workFirst(cost+acceptCost, func() { refuse(); b.accept(turns - 1) })
 	default:
-		b.first(cost, refuse)
-		b.work(acceptCost, func() { b.accept(turnsMost) })
+		b.workFirst(cost, refuse)
+		b.work(acceptCost, func() { b.accept(maxAcceptsInRow) })
 	}
 }
 
 // inspect simulates the router's first look at a connection.
-func (b *box) look(place *list.Element, a arrival) {
-	if b.backlog.Dequeue(b.now, place, b.short()) {
-		b.first(earlyCost, a.refused)
+func (b *box) inspect(place *list.Element, a arrival) {
+	if b.backlog.Dequeue(b.now, place, b.overloaded()) {
+		b.workFirst(earlyRefusalCost, a.refused)
 		return
 	}
-	a.taken(a.came)
+	a.admitted(a.arrivedAt)
 }
 
 // overloaded reports whether the router is short of processor time.
-func (b *box) short() bool { return b.throttle.CoalesceLevel() > 0 }
+func (b *box) overloaded() bool { return b.throttle.CoalesceLevel() > 0 }
 
 // workFirst queues a job for the processor before all those already queued.
-func (b *box) first(cost time.Duration, do func()) {
+func (b *box) workFirst(cost time.Duration, do func()) {
 	b.jobs = append([]job{{cost, do}}, b.jobs...)
 	b.next()
 }
 
 // parse simulates a request that arrived at a time and was admitted.
-func (b *box) read(k kind, came time.Time, s *second, refuse func()) {
+func (b *box) parse(k kind, arrived time.Time, s *second, refuse func()) {
 	t := &Ticket{
 		ID: fmt.Sprint(b.requests), Service: "llm", Organisation: "o", Engine: true, Stream: true,
-		Input: k.input, Output: k.output, Goal: k.goal, Arrived: came, Deadline: came.Add(6 * time.Second),
+		Input: k.input, Output: k.output, Goal: k.goal, Arrived: arrived, Deadline: arrived.Add(6 * time.Second),
 		Decision: make(chan Decision, 1),
 	}
-	b.work(requestCost*readShare/100, func() {
-		b.longest = max(b.longest, b.now.Sub(came))
+	b.work(requestCost*parsePercent/100, func() {
+		b.longestWait = max(b.longestWait, b.now.Sub(arrived))
 		b.Arrive(b.now, t)
 		b.decided(t, func(d Decision) {
 			if d.Refused != "" {
 				b.work(refusalCost, refuse)
 				return
 			}
-			s.got += k.tokens()
-			begin := b.now.Add(readTime)
-			b.after(readTime, func() { b.pass(k, t, begin, 0) })
+			s.served += k.tokens()
+			start := b.now.Add(readTime)
+			b.after(readTime, func() { b.forward(k, t, start, 0) })
 		})
 	})
 }
@@ -363,29 +363,29 @@
 
 // forward simulates forwarding the events that an engine has produced by now, of which the
 // first so many were forwarded before.
-func (b *box) pass(k kind, t *Ticket, begin time.Time, passed int) {
+func (b *box) forward(k kind, t *Ticket, start time.Time, passed int) {
 	b.work(eventCost, func() {
 		if passed == 0 {
 			b.Started(b.now, t)
 		}
-		made := min(int(b.now.Sub(begin)/eventGap)+1, k.events)
+		made := min(int(b.now.Sub(start)/eventGap)+1, k.events)
 		t.Pieces.Add(1)
 		if made == k.events {
-			b.work(requestCost*(100-readShare)/100, func() { b.Ended(b.now, t, Answered) })
+			b.work(requestCost*(100-parsePercent)/100, func() { b.Ended(b.now, t, Answered) })
 			return
 		}
-		next := begin.Add(time.Duration(made) * eventGap).Sub(b.now)
-		b.after(max(next, b.pause()), func() { b.pass(k, t, begin, made) })
+		next := start.Add(time.Duration(made) * eventGap).Sub(b.now)
+		b.after(max(next, b.coalesceDelay()), func() { b.forward(k, t, start, made) })
 	})
 }
 
 // admits reports whether the router's gate admits a request.
-func (b *box) reads(k kind) bool {
+func (b *box) admits(k kind) bool {
 	g, o := b.gates["o"], throttle.RequestSize{Input: k.input, Output: k.output}
 	return g == nil || g.Check(o) == "" && g.Admit(o) == ""
 }
 
 // coalesceDelay returns how long the router coalesces the events of a stream.
-func (b *box) pause() time.Duration {
-	return time.Duration(b.throttle.CoalesceLevel() * coalesceMost * float64(time.Millisecond))
+func (b *box) coalesceDelay() time.Duration {
+	return time.Duration(b.throttle.CoalesceLevel() * maxCoalesceMillis * float64(time.Millisecond))
 }
--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -27,7 +27,7 @@
 	if s.coldAllowance != nil {
 		part = s.coldAllowance(now, t.ID, rate)
 	}
-	if t.recent.Count(now) < part {
+	if t.recentSends.Count(now) < part {
 		return false
 	}
 	s.coldSkips++
--- a/internal/balance/gate_test.go
+++ b/internal/balance/gate_test.go
@@ -24,7 +24,7 @@
 	}
 	s.Configure(table)
 	s.SetTargets(now, []Target{{ID: "e", Service: "llm", Zone: "z", Slots: slots + spareSlots}})
-	read, counted, lately := 0, 0, 0
+	admitted, counted, recent := 0, 0, 0
 	var running []*Ticket
 	var gates map[string]*throttle.Gate
 	for tick := range ticks {
@@ -32,8 +32,8 @@
 			if g := gates["o"]; g != nil && (g.Check(throttle.RequestSize{Input: 10}) != "" || g.Admit(throttle.RequestSize{Input: 10}) != "") {
 				continue
 			}
-			read++
-			lately++
+			admitted++
+			recent++
 			k := &Ticket{
 				ID: fmt.Sprint(tick, "-", i), Service: "llm", Organisation: "o", Engine: true, Input: 10, Goal: time.Second / 2,
 				Arrived: now, Deadline: now.Add(time.Second), Decision: make(chan Decision, 1),
@@ -42,26 +42,26 @@
 			running = append(running, k)
 		}
 		now = now.Add(tickInterval)
-		var begun []*Ticket
+		var sent []*Ticket
 		for _, k := range running {
 			if k.target != nil {
-				begun = append(begun, k)
+				sent = append(sent, k)
 			}
 		}
-		for _, k := range begun {
+		for _, k := range sent {
 			s.Ended(now, k, Answered)
 		}
 		s.Tick(now)
 		if tick%meterTicks == 0 {
-			s.SetCPUUtilisation(now, float64(lately)/meterTicks*cost, 0.2)
-			lately = 0
+			s.SetCPUUtilisation(now, float64(recent)/meterTicks*cost, 0.2)
+			recent = 0
 		}
 		gates = s.gatesAt(now)
 		if tick == ticks/2 {
-			read, counted = 0, tick
+			admitted, counted = 0, tick
 		}
 	}
-	return float64(read) / float64(ticks-counted-1)
+	return float64(admitted) / float64(ticks-counted-1)
 }
 
 func TestGate(t *testing.T) {
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -62,10 +62,10 @@
 // checkSilence suspects a target that has made no progress for maxSilence although a request
 // waits at it.
 func (t *target) checkSilence(now time.Time) {
-	if len(t.waiting) == 0 {
+	if len(t.unstarted) == 0 {
 		return
 	}
-	since := t.waiting[0].sentAt
+	since := t.unstarted[0].sentAt
 	if t.lastProgress.After(since) {
 		since = t.lastProgress
 	}
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -30,7 +30,7 @@
 }
 
 // newTicket returns a request to engines for a prompt with a shared prefix.
-func question(id string, now time.Time) *Ticket {
+func newTicket(id string, now time.Time) *Ticket {
 	return &Ticket{
 		ID: id, Service: "llm", Organisation: "o", Engine: true, Stream: true, Input: 1000, Output: 10,
 		Parts: []prefix.Part{{ID: "shared", Tokens: 800}, {ID: "own " + id, Tokens: 200}},
@@ -38,11 +38,11 @@
 	}
 }
 
-func TestNewIncarnationKnowsNothing(t *testing.T) {
+func TestNewIncarnationStartsEmpty(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newRouter(t, now)
 	s.SetTargets(now, []Target{engine("e", 1)})
-	k := question("q", now)
+	k := newTicket("q", now)
 	lost := 0
 	k.OnLost(func() { lost++ })
 	s.Arrive(now, k)
@@ -75,7 +75,7 @@
 	now := time.Unix(1000, 0)
 	s := newRouter(t, now)
 	s.SetTargets(now, []Target{engine("e", 1)})
-	k := question("q", now)
+	k := newTicket("q", now)
 	k.OnLost(func() { t.Error("the request was aborted though its target runs on") })
 	s.Arrive(now, k)
 	leaving := engine("e", 1)
@@ -117,7 +117,7 @@
 			"ask": func(t *rapid.T) {
 				i := which.Draw(t, "router")
 				count++
-				k := question(fmt.Sprint(count), now)
+				k := newTicket(fmt.Sprint(count), now)
 				k.OnLost(func() { delete(running[i], k) })
 				states[i].Arrive(now, k)
 				select {
--- a/internal/balance/leaving_test.go
+++ b/internal/balance/leaving_test.go
@@ -10,7 +10,7 @@
 
 // Guards against requests that wait although all targets are known to be leaving, from their
 // entries or from what they reported themselves.
-func TestRequestsWaitForTargetsThatLeave(t *testing.T) {
+func TestNoWaitForLeavingTargets(t *testing.T) {
 	gomega.RegisterTestingT(t)
 	cases := map[string]func(w *world){
 		"by their entries": func(w *world) {
--- a/internal/balance/loop.go
+++ b/internal/balance/loop.go
@@ -31,17 +31,18 @@
 	state  *State
 	events chan Event
 	gates  atomic.Pointer[map[string]*throttle.Gate]
-	// busy and coalesce hold the bits of the state's float64 values, for other goroutines.
-	busy, coalesce atomic.Uint64
-	meter          meter
-	onResume       func(s *State, now time.Time, missed time.Duration)
+	// cpuUtilisation and coalesceLevel hold the bits of the state's float64 values, for other
+	// goroutines.
+	cpuUtilisation, coalesceLevel atomic.Uint64
+	meter                         meter
+	onResume                      func(s *State, now time.Time, missed time.Duration)
 }
 
 // meter measures the fraction of its cores that the router uses.
 type meter struct {
-	// used returns the processor time used since the start; nil if that is unknown. cores is
-	// the number of cores that the router may use.
-	used     func() time.Duration
+	// cpuTime returns the processor time used since the start; nil if that is unknown. cores
+	// is the number of cores that the router may use.
+	cpuTime  func() time.Duration
 	cores    float64
 	ticks    int
 	lastAt   time.Time
@@ -52,10 +53,10 @@
 // the process had to wait for the processor, however little time it was charged for.
 func (m *meter) measure(now time.Time, s *State) {
 	m.ticks++
-	if m.used == nil || m.cores <= 0 || m.ticks%meterTicks != 0 {
+	if m.cpuTime == nil || m.cores <= 0 || m.ticks%meterTicks != 0 {
 		return
 	}
-	used := m.used()
+	used := m.cpuTime()
 	passed := now.Sub(m.lastAt)
 	switch {
 	case m.lastAt.IsZero() || passed <= 0:
@@ -70,7 +71,7 @@
 // SetMeter makes the loop measure how much of a number of cores the router uses; used returns
 // the processor time used since the start. It must be called before Run.
 func (l *Loop) SetMeter(used func() time.Duration, cores float64) {
-	l.meter.used, l.meter.cores = used, cores
+	l.meter.cpuTime, l.meter.cores = used, cores
 }
 
 // OnResume sets a function that is called, like an event, when the box resumes after it was
@@ -110,8 +111,8 @@
 			now := clock.Now()
 			l.state.Tick(now)
 			l.meter.measure(now, l.state)
-			l.busy.Store(math.Float64bits(l.state.throttle.CPUUtilisation()))
-			l.coalesce.Store(math.Float64bits(l.state.throttle.CoalesceLevel()))
+			l.cpuUtilisation.Store(math.Float64bits(l.state.throttle.CPUUtilisation()))
+			l.coalesceLevel.Store(math.Float64bits(l.state.throttle.CoalesceLevel()))
 			l.publish(l.state.gatesAt(now))
 		}
 	}
@@ -128,11 +129,11 @@
 
 // CPUUtilisation returns the fraction of its cores that the router used in the last
 // measurement.
-func (l *Loop) CPUUtilisation() float64 { return math.Float64frombits(l.busy.Load()) }
+func (l *Loop) CPUUtilisation() float64 { return math.Float64frombits(l.cpuUtilisation.Load()) }
 
 // CoalesceLevel returns how much streams should coalesce events to save processor time, from 0
 // (not at all) to 1 (as long as callers accept).
-func (l *Loop) CoalesceLevel() float64 { return math.Float64frombits(l.coalesce.Load()) }
+func (l *Loop) CoalesceLevel() float64 { return math.Float64frombits(l.coalesceLevel.Load()) }
 
 // Throttling reports whether the requests of any organisation are shed. Any goroutine may call
 // it.
--- a/internal/balance/peers.go
+++ b/internal/balance/peers.go
@@ -30,14 +30,14 @@
 	// remaining is the unused part of the router's allowance, from 0 to 1. It refills within a
 	// second.
 	remaining float64
-	updated   time.Time
+	updatedAt time.Time
 }
 
 // allow reports whether a request that makes a target read so many tokens is to be announced,
 // and counts it if so. routers is the number of routers that announce requests to each other.
 func (n *notifyLimiter) allow(now time.Time, tokens, routers int) bool {
-	n.remaining = min(n.remaining+now.Sub(n.updated).Seconds(), 1)
-	n.updated = now
+	n.remaining = min(n.remaining+now.Sub(n.updatedAt).Seconds(), 1)
+	n.updatedAt = now
 	if float64(tokens) < notifyThreshold*math.Pow(maxNotifyThreshold/notifyThreshold, 1-n.remaining) {
 		return false
 	}
@@ -47,7 +47,7 @@
 
 // OnLongPrompt sets a function that is called at once when a long prompt is sent. It gets the
 // target, this router's load on it and the load that the request added.
-func (s *State) OnLongPrompt(f func(target string, now, added view.Load)) { s.notify = f }
+func (s *State) OnLongPrompt(f func(target string, now, added view.Load)) { s.onLongPrompt = f }
 
 // SetPeers sets how many other routers are believed to be running, and how many of those
 // serve callers.
--- a/internal/balance/plain_test.go
+++ b/internal/balance/plain_test.go
@@ -17,11 +17,11 @@
 	burstWork                = 60 * time.Millisecond
 	burstGoal                = 300 * time.Millisecond
 	burstSize                = 3 * burstTargets * burstSlots
-	burstPause               = 500 * time.Millisecond
+	burstInterval            = 500 * time.Millisecond
 	bursts                   = 20
 	// minServedRatio is the fraction of the requests of the later bursts that must be served
 	// in time.
-	burstLeast = 0.95
+	minServedRatio = 0.95
 )
 
 // plainTarget serves as many requests at once as it has slots, and queues the others in order.
@@ -30,7 +30,7 @@
 }
 
 // serve returns when a request that arrives now ends.
-func (p *plainTarget) take(now time.Time) time.Time {
+func (p *plainTarget) serve(now time.Time) time.Time {
 	first := 0
 	for i := range p.free {
 		if p.free[i].Before(p.free[first]) {
@@ -63,8 +63,8 @@
 	s.SetTargets(start, list)
 	served, asked := 0, 0
 	for burst := range bursts {
-		from := start.Add(time.Duration(burst) * burstPause)
-		inTime := playBurst(s, from, targets, burst)
+		from := start.Add(time.Duration(burst) * burstInterval)
+		inTime := runBurst(s, from, targets, burst)
 		if burst < bursts/2 {
 			// The service time must be learnt first.
 			continue
@@ -72,17 +72,17 @@
 		served += inTime
 		asked += burstSize
 	}
-	if part := float64(served) / float64(asked); part < burstLeast {
-		t.Errorf("%.2f of the requests were served in time, want %.2f", part, burstLeast)
+	if part := float64(served) / float64(asked); part < minServedRatio {
+		t.Errorf("%.2f of the requests were served in time, want %.2f", part, minServedRatio)
 	}
 }
 
 // runBurst simulates a burst and returns how many of its requests are served in time.
-func playBurst(s *balance.State, from time.Time, targets map[string]*plainTarget, burst int) int {
+func runBurst(s *balance.State, from time.Time, targets map[string]*plainTarget, burst int) int {
 	waiting := map[*balance.Ticket]bool{}
 	ends := map[*balance.Ticket]time.Time{}
 	inTime := 0
-	for now := from; now.Before(from.Add(burstPause)); now = now.Add(time.Millisecond) {
+	for now := from; now.Before(from.Add(burstInterval)); now = now.Add(time.Millisecond) {
 		if n := int(now.Sub(from) / time.Millisecond); n < burstSize {
 			ticket := &balance.Ticket{
 				ID: fmt.Sprint(burst, "-", n), Service: "plain", Goal: burstGoal, Arrived: now,
@@ -97,7 +97,7 @@
 			case d := <-ticket.Decision:
 				delete(waiting, ticket)
 				if d.Refused == "" {
-					ends[ticket] = targets[d.Target.ID].take(now)
+					ends[ticket] = targets[d.Target.ID].serve(now)
 				}
 			default:
 				// It waits on.
--- a/internal/balance/random_test.go
+++ b/internal/balance/random_test.go
@@ -22,7 +22,7 @@
 }
 
 // withinWindow counts the times within a retry window before now.
-func (m *model) lately(times []time.Time) int {
+func (m *model) withinWindow(times []time.Time) int {
 	n := 0
 	for _, at := range times {
 		if m.now.Sub(at) < limits.RetryWindow {
@@ -83,7 +83,7 @@
 			m.waiting = append(m.waiting, k)
 		},
 		"pass": func(t *rapid.T) {
-			m.pass(time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond)
+			m.advance(time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond)
 		},
 		"begin": func(t *rapid.T) {
 			if len(m.running) == 0 {
@@ -110,8 +110,8 @@
 			if m.Retry(m.now, k) {
 				m.retries[k.Service] = append(m.retries[k.Service], m.now)
 				m.waiting = append(m.waiting, k)
-				allowed := limits.RetryRatio*float64(m.lately(m.arrivals[k.Service])) + limits.RetrySlack
-				if n := m.lately(m.retries[k.Service]); float64(n) > allowed {
+				allowed := limits.RetryRatio*float64(m.withinWindow(m.arrivals[k.Service])) + limits.RetrySlack
+				if n := m.withinWindow(m.retries[k.Service]); float64(n) > allowed {
 					t.Fatalf("%d retries in a window that allows %g", n, allowed)
 				}
 			}
@@ -156,7 +156,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{world: newWorld(4), leaving: map[string]bool{}, retries: map[string][]time.Time{}, arrivals: map[string][]time.Time{}}
 		t.Repeat(m.actions())
-		m.pass(time.Minute)
+		m.advance(time.Minute)
 		m.collect(t)
 		if n := len(m.waiting); n > 0 {
 			t.Fatalf("%d requests got no decision", n)
--- a/internal/balance/rest_test.go
+++ b/internal/balance/rest_test.go
@@ -16,18 +16,18 @@
 	// requestedBackoff is the backoff that a target asks for. Within arrivalGrace after that
 	// answer any number of requests may still arrive, later in the backoff at most
 	// maxLateArrivals.
-	restAsked    = 3 * time.Second
-	restSlack    = 500 * time.Millisecond
-	restArrivals = 2
+	requestedBackoff = 3 * time.Second
+	arrivalGrace     = 500 * time.Millisecond
+	maxLateArrivals  = 2
 	// maxTransit is the longest time that a request takes to reach its target, including to
 	// connect.
-	wayMost = 400 * time.Millisecond
+	maxTransit = 400 * time.Millisecond
 	// simStep and simDuration are the time step and the length of a simulation.
-	playStep, playTime = 5 * time.Millisecond, 20 * time.Second
+	simStep, simDuration = 5 * time.Millisecond, 20 * time.Second
 )
 
 // backoffSim simulates a router with targets of which some refuse all requests for a while.
-type restPlay struct {
+type backoffSim struct {
 	*world
 	*rand.Rand
 	from, until time.Time
@@ -36,7 +36,7 @@
 	// not ask for a backoff. refusedAt and arrived have the times at which requests were
 	// refused by and reached each target.
 	plain, silent bool
-	asked         map[string][]time.Time
+	refusedAt     map[string][]time.Time
 	arrived       map[string][]time.Time
 	due           []due
 	// refused has the router's refusals.
@@ -46,12 +46,12 @@
 
 // newBackoffSim returns a simulation of six engines and six plain targets, of which those that
 // refuses selects refuse all requests from the fourth second to the thirteenth.
-func newRestPlay(refuses func(id string) bool, plain bool) *restPlay {
+func newBackoffSim(refuses func(id string) bool, plain bool) *backoffSim {
 	w := newWorld(6)
-	return &restPlay{
+	return &backoffSim{
 		world: w, Rand: rand.New(rand.NewPCG(1, 2)), refuses: refuses, plain: plain,
 		from: w.now.Add(4 * time.Second), until: w.now.Add(13 * time.Second),
-		asked: map[string][]time.Time{}, arrived: map[string][]time.Time{},
+		refusedAt: map[string][]time.Time{}, arrived: map[string][]time.Time{},
 	}
 }
 
@@ -61,10 +61,10 @@
 	do func()
 }
 
-func (p *restPlay) after(d time.Duration, do func()) { p.due = append(p.due, due{p.now.Add(d), do}) }
+func (p *backoffSim) after(d time.Duration, do func()) { p.due = append(p.due, due{p.now.Add(d), do}) }
 
 // send simulates a request, which is retried once if its target refuses it.
-func (p *restPlay) ask() {
+func (p *backoffSim) send() {
 	k := p.prompt("o", fmt.Sprint("shared", p.IntN(24)), 100)
 	if p.plain {
 		k = p.world.plain()
@@ -74,24 +74,24 @@
 }
 
 // follow sends a request on once it has a target, and checks again later while it waits.
-func (p *restPlay) follow(k *balance.Ticket, repeats int) {
+func (p *backoffSim) follow(k *balance.Ticket, repeats int) {
 	d := decision(k)
 	switch {
 	case d == nil:
-		p.after(playStep, func() { p.follow(k, repeats) })
+		p.after(simStep, func() { p.follow(k, repeats) })
 	case d.Refused != "":
 		p.refused = append(p.refused, *d)
 	default:
 		way := time.Millisecond
 		if p.IntN(50) == 0 {
-			way = time.Duration(p.Int64N(int64(wayMost)))
+			way = time.Duration(p.Int64N(int64(maxTransit)))
 		}
 		p.after(way, func() { p.reach(k, d.Target.ID, repeats) })
 	}
 }
 
 // reach simulates that a request reaches its target.
-func (p *restPlay) reach(k *balance.Ticket, id string, repeats int) {
+func (p *backoffSim) reach(k *balance.Ticket, id string, repeats int) {
 	p.arrived[id] = append(p.arrived[id], p.now)
 	if p.now.Before(p.from) || !p.now.Before(p.until) || !p.refuses(id) {
 		p.after(20*time.Millisecond, func() { p.Started(p.now, k) })
@@ -101,10 +101,10 @@
 		})
 		return
 	}
-	p.asked[id] = append(p.asked[id], p.now)
+	p.refusedAt[id] = append(p.refusedAt[id], p.now)
 	p.after(time.Millisecond, func() {
 		if !p.silent {
-			p.RecordBackoff(p.now, k, restAsked)
+			p.RecordBackoff(p.now, k, requestedBackoff)
 		}
 		p.Ended(p.now, k, balance.Refused)
 		k.Tried = append(k.Tried, id)
@@ -114,9 +114,9 @@
 	})
 }
 
-func (p *restPlay) run(perStep float64) {
-	for end := p.now.Add(playTime); p.now.Before(end); {
-		p.pass(playStep)
+func (p *backoffSim) run(perStep float64) {
+	for end := p.now.Add(simDuration); p.now.Before(end); {
+		p.advance(simStep)
 		now := p.now
 		list := p.due
 		p.due = nil
@@ -128,7 +128,7 @@
 			e.do()
 		}
 		for n := perStep; n > 0 && p.Float64() < n; n-- {
-			p.ask()
+			p.send()
 		}
 		if p.IntN(40) == 0 {
 			// The list is replaced now and then; for a moment one target is missing from it.
@@ -141,13 +141,13 @@
 
 // maxLate returns the highest number of requests that reached a single target during its
 // backoff.
-func (p *restPlay) late() int {
+func (p *backoffSim) maxLate() int {
 	most := 0
-	for id, list := range p.asked {
+	for id, list := range p.refusedAt {
 		for _, at := range list {
 			n := 0
 			for _, a := range p.arrived[id] {
-				if a.After(at.Add(restSlack)) && a.Before(at.Add(restAsked)) {
+				if a.After(at.Add(arrivalGrace)) && a.Before(at.Add(requestedBackoff)) {
 					n++
 				}
 			}
@@ -159,7 +159,7 @@
 
 // Guards against sending more requests to targets that refused requests and asked for a
 // backoff: since nothing runs there, they look like the least loaded ones.
-func TestRequestsReachRestingTargets(t *testing.T) {
+func TestBackoffIsHonoured(t *testing.T) {
 	gomega.RegisterTestingT(t)
 	cases := map[string]struct {
 		refuses func(id string) bool
@@ -173,10 +173,10 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			p := newRestPlay(c.refuses, c.plain)
+			p := newBackoffSim(c.refuses, c.plain)
 			p.run(0.5)
-			if n := p.late(); n > restArrivals {
-				t.Errorf("%d requests reached a target during its backoff, want at most %d", n, restArrivals)
+			if n := p.maxLate(); n > maxLateArrivals {
+				t.Errorf("%d requests reached a target during its backoff, want at most %d", n, maxLateArrivals)
 			}
 			if !c.all && len(p.refused) > 0 {
 				t.Errorf("%d requests refused and %d served though other targets have room, first refusal %+v", len(p.refused), p.served, p.refused[0])
@@ -184,8 +184,8 @@
 			if c.all && !slices.ContainsFunc(p.refused, func(d balance.Decision) bool { return d.RetryAfter > time.Second }) {
 				t.Errorf("none of %d refusals had a Retry-After past the backoff", len(p.refused))
 			}
-			for id := range p.asked {
-				if last := p.arrived[id][len(p.arrived[id])-1]; !last.After(p.until.Add(restAsked)) {
+			for id := range p.refusedAt {
+				if last := p.arrived[id][len(p.arrived[id])-1]; !last.After(p.until.Add(requestedBackoff)) {
 					t.Errorf("%s got no requests after its backoff", id)
 				}
 			}
@@ -194,7 +194,7 @@
 }
 
 // rate returns how many requests a second reached a target between two times.
-func (p *restPlay) rate(id string, from, until time.Time) float64 {
+func (p *backoffSim) rate(id string, from, until time.Time) float64 {
 	n := 0
 	for _, at := range p.arrived[id] {
 		if at.After(from) && at.Before(until) {
@@ -208,7 +208,7 @@
 // without asking for a backoff: since nothing runs there, they look like the least loaded
 // ones. Which organisations were served then depended on whose requests happened to go
 // elsewhere.
-func TestRequestsDrawnByTargetsThatTurnAllAway(t *testing.T) {
+func TestRefusingTargetsDrawNoRequests(t *testing.T) {
 	gomega.RegisterTestingT(t)
 	cases := map[string]struct {
 		refuses func(id string) bool
@@ -220,14 +220,14 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			p := newRestPlay(c.refuses, c.plain)
+			p := newBackoffSim(c.refuses, c.plain)
 			p.silent = true
-			began := p.now
+			start := p.now
 			p.run(0.5)
-			for id := range p.asked {
-				before, while := p.rate(id, began, p.from), p.rate(id, p.from, p.until)
-				if while > before {
-					t.Errorf("%s got %.1f requests a second while it refused all, %.1f before", id, while, before)
+			for id := range p.refusedAt {
+				before, during := p.rate(id, start, p.from), p.rate(id, p.from, p.until)
+				if during > before {
+					t.Errorf("%s got %.1f requests a second while it refused all, %.1f before", id, during, before)
 				}
 				if last := p.arrived[id][len(p.arrived[id])-1]; !last.After(p.until.Add(time.Second)) {
 					t.Errorf("%s got no requests after it stopped refusing them", id)
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -85,8 +85,8 @@
 	}
 	perSecond := float64(time.Second) / float64(m.PrefillTime(1))
 	ownShare := own / (own + others)
-	if len(c.waiting) > 0 {
-		first := c.waiting[0]
+	if len(c.unstarted) > 0 {
+		first := c.unstarted[0]
 		since := first.sentAt
 		if c.lastProgress.After(since) {
 			since = c.lastProgress
--- a/internal/balance/room_test.go
+++ b/internal/balance/room_test.go
@@ -20,13 +20,13 @@
 
 // train runs requests whose first event takes a fixed time plus a time per 1,000 tokens of the
 // prompt.
-func (w *world) learn(fixed, perThousand time.Duration) {
+func (w *world) train(fixed, perThousand time.Duration) {
 	for i := range 600 {
 		t := w.unshared("learning", 100+i%20*300)
 		t.Stream = true
 		Expect(w.arrive(t)).NotTo(BeNil())
-		w.pass(fixed + perThousand*time.Duration(t.Input)/1000)
-		w.serve(t)
+		w.advance(fixed + perThousand*time.Duration(t.Input)/1000)
+		w.complete(t)
 		// The organisation's usage decays before the next request.
 		w.now = w.now.Add(time.Minute)
 	}
@@ -34,7 +34,7 @@
 
 // sendUntilFull returns how many prompts of an organisation are sent before the first one
 // waits.
-func (w *world) sent(organisation string, tokens int) int {
+func (w *world) sendUntilFull(organisation string, tokens int) int {
 	for n := range 100 {
 		if w.arrive(w.unshared(organisation, tokens)) == nil {
 			return n
@@ -53,8 +53,8 @@
 			"slow engine": {60 * time.Millisecond, 4, 9},
 		} {
 			w := newWorld(1)
-			w.learn(50*time.Millisecond, c.perThousand)
-			Expect(w.sent("o", 1000)).To(And(BeNumerically(">=", c.least), BeNumerically("<=", c.most)), name)
+			w.train(50*time.Millisecond, c.perThousand)
+			Expect(w.sendUntilFull("o", 1000)).To(And(BeNumerically(">=", c.least), BeNumerically("<=", c.most)), name)
 		}
 	})
 
@@ -63,22 +63,22 @@
 		over.ApplyReport(over.now, "r", view.Report{Usage: map[string]view.Usage{
 			"o": {Demand: 20 * tokensPerSecond, Started: 20 * tokensPerSecond}, "p": {Demand: 20 * tokensPerSecond},
 		}})
-		Expect(over.sent("o", 1000)).To(BeNumerically("<", within.sent("o", 1000)/2))
+		Expect(over.sendUntilFull("o", 1000)).To(BeNumerically("<", within.sendUntilFull("o", 1000)/2))
 	})
 
 	It("grows as the engine reads", func() {
 		w := newWorld(2)
-		w.learn(50*time.Millisecond, 25*time.Millisecond)
+		w.train(50*time.Millisecond, 25*time.Millisecond)
 		w.ApplyReport(w.now, "r", view.Report{Loads: map[string]view.Load{
 			"e0": {PendingTokens: 30_000, Running: 5}, "e1": {PendingTokens: 30_000, Running: 5},
 		}})
 		t := w.unshared("o", 100)
 		Expect(w.arrive(t)).To(BeNil(), "both engines read for 750 ms")
-		w.pass(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 		Expect(decision(t)).To(BeNil())
 		w.ApplyReport(w.now, "r", view.Report{Loads: map[string]view.Load{"e0": {PendingTokens: 20_000, Running: 5}, "e1": {PendingTokens: 20_000, Running: 5}}})
 		t = w.unshared("o", 100)
-		w.pass(250 * time.Millisecond)
+		w.advance(250 * time.Millisecond)
 		Expect(w.arrive(t)).NotTo(BeNil(), "read for 250 of 500 ms")
 	})
 
--- a/internal/balance/shares.go
+++ b/internal/balance/shares.go
@@ -21,7 +21,7 @@
 // decay over the window.
 type usage struct {
 	demand, served float64
-	updated        time.Time
+	updatedAt      time.Time
 }
 
 func newShares(window time.Duration) shares {
@@ -31,20 +31,20 @@
 // decayTo decays the counts to now. The time constant is half the window, so that most of the
 // weight lies within the window.
 func (c *usage) decayTo(now time.Time, window time.Duration) {
-	d := now.Sub(c.updated)
+	d := now.Sub(c.updatedAt)
 	if d <= 0 {
 		return
 	}
 	f := view.DecayFactor(d, window)
 	c.demand *= f
 	c.served *= f
-	c.updated = now
+	c.updatedAt = now
 }
 
 func (s *shares) usageOf(now time.Time, organisation string) *usage {
 	c := s.usages[organisation]
 	if c == nil {
-		c = &usage{updated: now}
+		c = &usage{updatedAt: now}
 		s.usages[organisation] = c
 	}
 	c.decayTo(now, s.window)
@@ -84,14 +84,14 @@
 
 // level is the max-min fair share of an organisation, and when it was computed.
 type level struct {
-	tokens   float64
-	computed time.Time
+	tokens     float64
+	computedAt time.Time
 }
 
 // fairShare returns the most that an organisation may be served: the level at which the
 // demands of all, each cut to it, add up to the capacity.
 func (s *State) fairShare(now time.Time) float64 {
-	if now.Sub(s.level.computed) < levelTTL {
+	if now.Sub(s.level.computedAt) < levelTTL {
 		return s.level.tokens
 	}
 	var demands []float64
@@ -105,7 +105,7 @@
 	})
 	// A constant rate decays to rate times the time constant.
 	capacity := s.shares.capacity * s.limits.QuotaWindow.Seconds() / 2
-	s.level = level{tokens: maxMinLevel(demands, capacity), computed: now}
+	s.level = level{tokens: maxMinLevel(demands, capacity), computedAt: now}
 	return s.level.tokens
 }
 
--- a/internal/balance/smallbox_test.go
+++ b/internal/balance/smallbox_test.go
@@ -37,11 +37,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(5) {
-				seconds := newBox(t, seed).play(c.rates, c.each)
+				seconds := newBox(t, seed).run(c.rates, c.each)
 				checkShares(t, seed, seconds)
 				last := seconds[len(seconds)-2]
-				if c.all && last.unserved > 0 {
-					t.Errorf("seed %d: %d of %d requests refused at the end", seed, last.unserved, last.requests)
+				if c.all && last.refused > 0 {
+					t.Errorf("seed %d: %d of %d requests refused at the end", seed, last.refused, last.requests)
 				}
 			}
 		})
@@ -54,10 +54,10 @@
 // Accepting and refusing one takes 0.14 ms, so that refusing all of them takes more than the
 // 0.19 cores available, and the wait for the processor before a request is inspected had no
 // bound.
-func TestDrownedBox(t *testing.T) {
-	playFloods(t, 0, func(t *testing.T, seed uint64, b *box, _ []second) {
-		if b.longest > longestRead {
-			t.Errorf("seed %d: a request waited %v before it was parsed", seed, b.longest)
+func TestOverloadedBoxParsesInTime(t *testing.T) {
+	runFloods(t, 0, func(t *testing.T, seed uint64, b *box, _ []second) {
+		if b.longestWait > maxParseWait {
+			t.Errorf("seed %d: a request waited %v before it was parsed", seed, b.longestWait)
 		}
 	})
 }
@@ -66,52 +66,52 @@
 // processor time goes into refusals, an eighth of it is left for serving, and in six seconds
 // the organisation is served 1.0 to 3.2 million tokens, where 3.29 million are half of what
 // the best served one gets.
-func TestDrownedShare(t *testing.T) {
-	playFloods(t, 0, func(t *testing.T, seed uint64, _ *box, seconds []second) { checkShares(t, seed, seconds) })
+func TestShareOfOverloadedBox(t *testing.T) {
+	runFloods(t, 0, func(t *testing.T, seed uint64, _ *box, seconds []second) { checkShares(t, seed, seconds) })
 }
 
 const (
 	// maxReconnects is how often a caller reconnects at once per attempt: an overloaded box
 	// closed 4,700 connections a second for 1,300 attempts.
-	returnsMost = 3
+	maxReconnects = 3
 	// impatientRatio is the fraction of callers that reconnect at once, whatever Retry-After
 	// says.
-	heedless = 0.3
+	impatientRatio = 0.3
 )
 
 // Guards against losing the share to callers that reconnect at once: where they got no
 // Retry-After, accepting and closing their connections took all of the processor time.
-func TestReturningCallersDrownNoShare(t *testing.T) {
-	playFloods(t, heedless, func(t *testing.T, seed uint64, b *box, seconds []second) {
+func TestShareWithReconnectingCallers(t *testing.T) {
+	runFloods(t, impatientRatio, func(t *testing.T, seed uint64, b *box, seconds []second) {
 		checkShares(t, seed, seconds)
-		if b.longest > longestRead {
-			t.Errorf("seed %d: a request waited %v before it was parsed", seed, b.longest)
+		if b.longestWait > maxParseWait {
+			t.Errorf("seed %d: a request waited %v before it was parsed", seed, b.longestWait)
 		}
 	})
 }
 
 // maxServedChange is the highest factor by which what the organisation is served may change
 // beyond the change in processor time.
-const cliffMost = 1.5
+const maxServedChange = 1.5
 
 // Runs the same overload with a tenth less processor time, as beside other work, and a tenth
 // more: what the organisation is served must change gradually.
-func TestDrownedShareHasNoCliff(t *testing.T) {
+func TestShareDegradesGradually(t *testing.T) {
 	var got []float64
 	parts := []float64{0.9, 1, 1.1}
 	for _, part := range parts {
 		sum := 0.0
 		for seed := range uint64(5) {
 			b := newBox(t, seed)
-			b.late, b.cores = true, part*boxCores
-			for _, s := range b.play([]float64{220, 900, 900}, 4*time.Second) {
-				sum += s.got
+			b.contended, b.cores = true, part*boxCores
+			for _, s := range b.run([]float64{220, 900, 900}, 4*time.Second) {
+				sum += s.served
 			}
 		}
 		got = append(got, sum)
 	}
 	for i := range len(parts) - 1 {
-		if ratio := got[i+1] / got[i]; ratio > parts[i+1]/parts[i]*cliffMost || ratio < 1/cliffMost {
+		if ratio := got[i+1] / got[i]; ratio > parts[i+1]/parts[i]*maxServedChange || ratio < 1/maxServedChange {
 			t.Errorf("%.0f tokens at %v of the cores, %.0f at %v", got[i], parts[i], got[i+1], parts[i+1])
 		}
 	}
@@ -120,7 +120,7 @@
 
 // runFloods simulates overloads of a small box whose control loop competes for the processor,
 // with a fraction of impatient callers.
-func playFloods(t *testing.T, heedless float64, check func(t *testing.T, seed uint64, b *box, seconds []second)) {
+func runFloods(t *testing.T, heedless float64, check func(t *testing.T, seed uint64, b *box, seconds []second)) {
 	t.Helper()
 	for name, c := range map[string]struct {
 		rates []float64
@@ -133,8 +133,8 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(5) {
 				b := newBox(t, seed)
-				b.late, b.heedless = true, heedless
-				check(t, seed, b, b.play(c.rates, c.each))
+				b.contended, b.impatient = true, heedless
+				check(t, seed, b, b.run(c.rates, c.each))
 			}
 		})
 	}
@@ -148,8 +148,8 @@
 	for from := 1; from+window <= len(seconds); from++ {
 		owed, got := 0.0, 0.0
 		for _, s := range seconds[from : from+window] {
-			owed += min(s.asked, bestServed) / 2
-			got += s.got
+			owed += min(s.demand, bestServedRate) / 2
+			got += s.served
 		}
 		if got < owed {
 			t.Errorf("seed %d: from second %d, %d seconds: %.0f tokens, want %.0f", seed, from, window, got, owed)
@@ -159,4 +159,4 @@
 
 // maxParseWait is the longest that a request may wait before it is parsed. It is below the
 // half second after which the request of a caller that left must not be running any more.
-const longestRead = 400 * time.Millisecond
+const maxParseWait = 400 * time.Millisecond
