--- a/internal/forward/advice.go
+++ b/internal/forward/advice.go
@@ -32,7 +32,7 @@
 	if a.Status == http.StatusMisdirectedRequest {
 		return
 	}
-	if leaves, err := strconv.ParseBool(a.Header.Get(x.dialect.Leaving)); err == nil && leaves {
+	if leaves, err := strconv.ParseBool(a.Header.Get(x.headers.Leaving)); err == nil && leaves {
 		x.reportLeaving(to)
 	}
 	if a.Status == http.StatusServiceUnavailable {
@@ -46,7 +46,7 @@
 	x.loop.Post(func(s *balance.State, now time.Time) {
 		if s.RecordLeaving(now, t) {
 			x.log.Info("target says that it leaves", "target", to.ID, "born", to.Born, "id", x.ID)
-			x.counts.CountAdvice(AdviceLeaving)
+			x.counters.CountAdvice(AdviceLeaving)
 		}
 	})
 }
@@ -62,9 +62,9 @@
 			return
 		}
 		x.log.Info("target asks for a rest", "target", to.ID, "rest_ms", d.Milliseconds(), "id", x.ID)
-		x.counts.CountAdvice(AdviceBackoff)
+		x.counters.CountAdvice(AdviceBackoff)
 		if d > advice.MaxBackoff {
-			x.counts.CountAdvice(AdviceBackoffCapped)
+			x.counters.CountAdvice(AdviceBackoffCapped)
 		}
 	})
 }
--- a/internal/forward/coalesce_test.go
+++ b/internal/forward/coalesce_test.go
@@ -58,7 +58,7 @@
 		if busy > 0 {
 			Eventually(loop.Coalesce).Should(BeNumerically(">", 0))
 		}
-		f := forward.New(forward.Dialect{RequestID: "X-Id", Deadline: "X-Wait-Ms", ExpectTarget: "X-Expect"}, httptarget.New(g), loop, noSuspects{}, logr.Discard(), discard{})
+		f := forward.New(forward.HeaderNames{RequestID: "X-Id", Deadline: "X-Wait-Ms", ExpectTarget: "X-Expect"}, httptarget.New(g), loop, noSuspects{}, logr.Discard(), discard{})
 		caller := &recordingCaller{}
 		v := f.Forward(context.Background(), forward.Request{
 			ID: "r", Method: http.MethodPost, URI: "/", Host: "h", Service: "s", Arrived: time.Now(), Deadline: time.Now().Add(10 * time.Second),
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -22,12 +22,12 @@
 
 // Forwarder forwards requests. Use New to make one. It is safe for concurrent use.
 type Forwarder struct {
-	dialect  Dialect
+	headers  HeaderNames
 	sender   Sender
 	loop     *balance.Loop
 	suspects Suspects
 	log      logr.Logger
-	counts   Counters
+	counters Counters
 }
 
 // Counters counts retries by reason, and what targets report about themselves.
@@ -38,21 +38,21 @@
 }
 
 // New returns a forwarder that sends requests with s to the targets that l chooses.
-func New(d Dialect, s Sender, l *balance.Loop, q Suspects, log logr.Logger, c Counters) *Forwarder {
-	return &Forwarder{dialect: d, sender: s, loop: l, suspects: q, log: log, counts: c}
+func New(h HeaderNames, s Sender, l *balance.Loop, q Suspects, log logr.Logger, c Counters) *Forwarder {
+	return &Forwarder{headers: h, sender: s, loop: l, suspects: q, log: log, counters: c}
 }
 
-// Crowded returns the reason to reject a request of an organisation to engines before it is
+// ShedReason returns the reason to reject a request of an organisation to engines before it is
 // parsed, because the organisation sends more than the router can take in, or "" to read it.
-func (f *Forwarder) Crowded(organisation string, o throttle.RequestSize) Reason {
+func (f *Forwarder) ShedReason(organisation string, o throttle.RequestSize) Reason {
 	return Reason(f.loop.Crowded(organisation, o))
 }
 
-// Throttles reports whether requests of any organisation are rejected before parsing.
-func (f *Forwarder) Throttles() bool { return f.loop.Throttles() }
+// Throttling reports whether requests of any organisation are rejected before parsing.
+func (f *Forwarder) Throttling() bool { return f.loop.Throttles() }
 
-// Short reports whether the router is short of processor time.
-func (f *Forwarder) Short() bool { return f.loop.Coalesce() > 0 }
+// ShortOfCPU reports whether the router is short of processor time.
+func (f *Forwarder) ShortOfCPU() bool { return f.loop.Coalesce() > 0 }
 
 // Admit admits a request of an organisation to engines and returns "", or returns the reason
 // to reject it.
@@ -202,7 +202,7 @@
 
 // abandon sets the result of a request whose deadline has passed or whose caller has gone.
 func (x *inflight) abandon(ctx context.Context) {
-	x.result.Reason = ReasonGone
+	x.result.Reason = ReasonCallerGone
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		x.result.Reason = ReasonDeadline
 	}
@@ -247,7 +247,7 @@
 		return false
 	}
 	if x.mayRetry(f) && x.retry(ctx, to) {
-		x.counts.CountRetry(f.reason)
+		x.counters.CountRetry(f.reason)
 		x.logFailure("sent again", to, f)
 		return true
 	}
@@ -341,17 +341,17 @@
 			b = appendHeader(b, name, v)
 		}
 	}
-	b = appendHeader(b, x.dialect.RequestID, x.ID)
-	b = appendHeader(b, x.dialect.Deadline, strconv.FormatInt(max(clock.Until(deadline).Milliseconds(), 1), 10))
-	b = appendHeader(b, x.dialect.ExpectTarget, to.ID)
+	b = appendHeader(b, x.headers.RequestID, x.ID)
+	b = appendHeader(b, x.headers.Deadline, strconv.FormatInt(max(clock.Until(deadline).Milliseconds(), 1), 10))
+	b = appendHeader(b, x.headers.ExpectTarget, to.ID)
 	if x.Organisation != "" {
-		b = appendHeader(b, x.dialect.Organisation, x.Organisation)
+		b = appendHeader(b, x.headers.Organisation, x.Organisation)
 	}
 	if x.lastEventID != "" {
-		b = appendHeader(b, x.dialect.LastEvent, x.lastEventID)
+		b = appendHeader(b, x.headers.LastEventID, x.lastEventID)
 	}
-	if x.fetchSource.ID != "" && x.dialect.FetchFrom != "" {
-		b = appendHeader(b, x.dialect.FetchFrom, x.fetchSource.Address)
+	if x.fetchSource.ID != "" && x.headers.FetchFrom != "" {
+		b = appendHeader(b, x.headers.FetchFrom, x.fetchSource.Address)
 	}
 	if len(x.Body) > 0 || x.Method == http.MethodPost || x.Method == http.MethodPut || x.Method == http.MethodPatch {
 		b = appendHeader(b, "Content-Length", strconv.Itoa(len(x.Body)))
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -69,7 +69,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		hold := make(chan bool)
-		f := forward.New(forward.Dialect{}, brokenSender{func() {
+		f := forward.New(forward.HeaderNames{}, brokenSender{func() {
 			// The control thread is blocked when the retry is requested, and the caller
 			// disconnects meanwhile.
 			loop.Post(func(*balance.State, time.Time) { <-hold })
--- a/internal/forward/leaving_test.go
+++ b/internal/forward/leaving_test.go
@@ -20,7 +20,7 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// headerLeaving and headerNotRun are the names of headers in these tests' dialect.
+// headerLeaving and headerNotRun are the names of headers in these tests.
 const headerLeaving, headerNotRun = "X-Leaving", "X-Not-Run"
 
 // testForwarder is a forwarder with its control loop, for targets that the test runs.
@@ -38,7 +38,7 @@
 	limits := balance.Limits{RetryRatio: 1, RetrySlack: 100, RetryWindow: time.Second, QuotaWindow: time.Second}
 	loop := balance.NewLoop(balance.New(time.Now(), "z", limits, rand.New(rand.NewPCG(1, 1))))
 	g.GoContext(loop.Run)
-	d := forward.Dialect{
+	d := forward.HeaderNames{
 		RequestID: "X-Id", Deadline: "X-Wait-Ms", ExpectTarget: "X-Expect", NotRun: headerNotRun, Leaving: headerLeaving,
 	}
 	return &testForwarder{loop: loop, Forwarder: forward.New(d, httptarget.New(g), loop, noSuspects{}, logr.Discard(), discard{})}
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -11,8 +11,8 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// Dialect holds the names of the headers that a deployment uses.
-type Dialect struct {
+// HeaderNames holds the names of the headers that a deployment uses.
+type HeaderNames struct {
 	// RequestID carries the request's id, in requests and answers.
 	RequestID string
 	// Deadline carries the number of milliseconds for which the caller waits for the answer.
@@ -28,8 +28,8 @@
 	// FetchFrom carries the address of an engine from which the target can fetch the
 	// parts of the prompt that it has not cached; empty if the deployment has no such header.
 	FetchFrom string
-	// LastEvent carries the id of the event after which a stream is to resume.
-	LastEvent string
+	// LastEventID carries the id of the event after which a stream is to resume.
+	LastEventID string
 	// PromptSize carries "INPUT TOKENS,MAXIMUM OUTPUT TOKENS", PromptParts the parts of
 	// the prompt in order as "ID:TOKENS" separated by commas, and OutputHint the expected
 	// number of output tokens.
@@ -132,17 +132,21 @@
 
 // The reasons.
 const (
-	ReasonFull     Reason = Reason(balance.Full)
-	ReasonResting  Reason = Reason(balance.BackingOff)
+	// ReasonQueueFull means that the queue was full, or that no target had room in time.
+	ReasonQueueFull Reason = Reason(balance.Full)
+	// ReasonTargetsBackingOff means that all targets that could take the request back off.
+	ReasonTargetsBackingOff Reason = Reason(balance.BackingOff)
+	// ReasonNoTarget means that no target of the service takes requests.
 	ReasonNoTarget Reason = Reason(balance.NoTarget)
-	// ReasonCrowded means that the organisation's queue is full and ReasonBusy that the
-	// router is short of processor time. The request was rejected before parsing.
-	ReasonCrowded Reason = Reason(balance.OrganisationQueueFull)
-	ReasonBusy    Reason = Reason(balance.RouterBusy)
+	// ReasonOrganisationQueueFull means that too many requests of the organisation wait,
+	// and ReasonRouterBusy that the router is short of processor time. The request was rejected
+	// before parsing.
+	ReasonOrganisationQueueFull Reason = Reason(balance.OrganisationQueueFull)
+	ReasonRouterBusy            Reason = Reason(balance.RouterBusy)
 	// ReasonDeadline means that the request's deadline passed.
 	ReasonDeadline Reason = "deadline"
-	// ReasonGone means that the caller disconnected.
-	ReasonGone Reason = "caller-gone"
+	// ReasonCallerGone means that the caller disconnected.
+	ReasonCallerGone Reason = "caller-gone"
 	// ReasonRefused means that a target answered that it did not run the request.
 	ReasonRefused Reason = "target-refused"
 	// ReasonUnreachable means that no connection to a target could be made.
--- a/internal/forward/rest_test.go
+++ b/internal/forward/rest_test.go
@@ -45,7 +45,7 @@
 	f := newTestForwarder(t)
 	var sent atomic.Int64
 	f.setTargets(t, startTarget(t, "a", &sent, withRetryAfter(refuse)), startTarget(t, "b", &sent, withRetryAfter(refuse)))
-	for i, reason := range []forward.Reason{forward.ReasonRefused, forward.ReasonResting, forward.ReasonResting} {
+	for i, reason := range []forward.Reason{forward.ReasonRefused, forward.ReasonTargetsBackingOff, forward.ReasonTargetsBackingOff} {
 		v := f.send(routing.Idempotent)
 		if v.Status != http.StatusServiceUnavailable || v.Reason != reason || v.RetryAfter < 50*time.Second {
 			t.Errorf("request %d: status %d, reason %q, retry after %v", i, v.Status, v.Reason, v.RetryAfter)
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -56,7 +56,7 @@
 	defer x.ticket.OnLost(nil)
 	answer, err := x.sender.Send(ctx, to.Address, httptarget.Request{
 		Method: x.Method, Head: x.requestHead(to, x.deadline), Body: x.Body, Instance: to.Incarnation(),
-		ID: x.ID, IDHeader: x.dialect.RequestID,
+		ID: x.ID, IDHeader: x.headers.RequestID,
 	})
 	if err != nil {
 		return x.sendFailed(ctx, to, err)
@@ -111,7 +111,7 @@
 	case errors.Is(cause, errRestarted):
 		return &failure{reason: ReasonRestarted, result: balance.Failed, mayHaveRun: true, cause: err}
 	}
-	return &failure{reason: ReasonGone, result: balance.Abandoned, mayHaveRun: true, cause: err}
+	return &failure{reason: ReasonCallerGone, result: balance.Abandoned, mayHaveRun: true, cause: err}
 }
 
 // endSend tells the control thread how the current send ended.
@@ -154,7 +154,7 @@
 
 // forwardAnswer forwards an answer, or returns why it could not.
 func (x *inflight) forwardAnswer(ctx context.Context, a *httptarget.Answer, silence *time.Timer) *failure {
-	if a.Header.Get(x.dialect.NotRun) != "" || a.Status == http.StatusMisdirectedRequest {
+	if a.Header.Get(x.headers.NotRun) != "" || a.Status == http.StatusMisdirectedRequest {
 		cause := errors.Errorf("status %d", a.Status)
 		if _, err := io.Copy(io.Discard, io.LimitReader(a, maxBufferedAnswer)); err != nil {
 			cause = errors.Wrap(err, cause.Error())
@@ -199,7 +199,7 @@
 	x.caller.Head(a.status, a.header, int64(len(a.body)))
 	if err := x.caller.Write(a.body); err != nil {
 		x.result.Truncated = true
-		x.result.Reason = ReasonGone
+		x.result.Reason = ReasonCallerGone
 	}
 }
 
@@ -214,7 +214,7 @@
 		n, err := a.Read(buffer)
 		if n > 0 {
 			if writeErr := x.caller.Write(buffer[:n]); writeErr != nil {
-				return &failure{reason: ReasonGone, result: balance.Abandoned, mayHaveRun: true, cause: writeErr}
+				return &failure{reason: ReasonCallerGone, result: balance.Abandoned, mayHaveRun: true, cause: writeErr}
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -272,7 +272,7 @@
 	}
 	x.recordPiece()
 	if err := x.caller.Write(batch); err != nil {
-		return &failure{reason: ReasonGone, result: balance.Abandoned, mayHaveRun: true, cause: err}
+		return &failure{reason: ReasonCallerGone, result: balance.Abandoned, mayHaveRun: true, cause: err}
 	}
 	x.ticket.Pieces.Add(1)
 	x.forwardedEvents += reader.batchCount
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -68,7 +68,7 @@
 	// Callers bounds what is taken on at a time; a bound of 0 means 1,000
 	// requests and 4,000 connections.
 	Callers ingress.Limits
-	Dialect forward.Dialect
+	Dialect forward.HeaderNames
 	Codec   catalog.Codec
 	Limits  balance.Limits
 	// Drain is for how long a target serves on that leaves; 0 means two seconds.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -34,9 +34,9 @@
 }
 
 // dialect holds header names of the tests' own.
-var dialect = forward.Dialect{
+var dialect = forward.HeaderNames{
 	RequestID: "X-Id", Deadline: "X-Wait-Ms", Organisation: "X-Organisation", ExpectTarget: "X-Expect",
-	NotRun: "X-Not-Run", LastEvent: "Last-Event-Id",
+	NotRun: "X-Not-Run", LastEventID: "Last-Event-Id",
 	PromptSize: "X-Size", PromptParts: "X-Parts", OutputHint: "X-Hint", FetchFrom: "X-Fetch",
 	Reserved: []string{"X-Organisation", "X-Expect", "X-Fetch", "X-Set-Aside"},
 }
@@ -195,7 +195,7 @@
 func streamer(end, last int, pause time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		from := 0
-		if text := r.Header.Get(dialect.LastEvent); text != "" {
+		if text := r.Header.Get(dialect.LastEventID); text != "" {
 			_, err := fmt.Sscan(text, &from)
 			if err != nil {
 				w.WriteHeader(http.StatusBadRequest)
--- a/internal/ingress/headers.go
+++ b/internal/ingress/headers.go
@@ -36,7 +36,7 @@
 		wait = time.Duration(ms * float64(time.Millisecond))
 	}
 	out.Deadline = out.Arrived.Add(wait)
-	out.LastEventID = r.Header.Get(s.dialect.LastEvent)
+	out.LastEventID = r.Header.Get(s.dialect.LastEventID)
 	out.Header = s.passedOn(r.Header)
 	out.Parts = promptParts(r.Header.Get(s.dialect.PromptParts))
 	return nil
@@ -59,7 +59,7 @@
 // on, some would make an engine set memory aside or move it at a caller's word.
 func (s *Server) own(name string) bool {
 	switch name {
-	case s.dialect.RequestID, s.dialect.Deadline, s.dialect.LastEvent, "Authorization", "Expect":
+	case s.dialect.RequestID, s.dialect.Deadline, s.dialect.LastEventID, "Authorization", "Expect":
 		return true
 	}
 	return slices.Contains(s.dialect.Reserved, name)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -62,7 +62,7 @@
 	ReasonNotReady     forward.Reason = "not-ready"
 	ReasonLeaving      forward.Reason = "router-leaving"
 	ReasonProcessFull  forward.Reason = "process-full"
-	ReasonCrowded      forward.Reason = forward.ReasonCrowded
+	ReasonCrowded      forward.Reason = forward.ReasonOrganisationQueueFull
 )
 
 const (
@@ -82,7 +82,7 @@
 
 // Server is the callers' side of a router. Use New to make one.
 type Server struct {
-	dialect   forward.Dialect
+	dialect   forward.HeaderNames
 	forwarder *forward.Forwarder
 	observer  Observer
 	log       logr.Logger
@@ -114,10 +114,10 @@
 }
 
 // New returns a server that refuses everything until Configure is called.
-func New(d forward.Dialect, f *forward.Forwarder, o Observer, most Limits, l logr.Logger) *Server {
+func New(d forward.HeaderNames, f *forward.Forwarder, o Observer, most Limits, l logr.Logger) *Server {
 	s := &Server{
 		dialect: d, forwarder: f, observer: o, log: l,
-		conns: newConns(most.Connections, f.Short), maxOpen: int64(most.Requests),
+		conns: newConns(most.Connections, f.ShortOfCPU), maxOpen: int64(most.Requests),
 	}
 	s.server = &http.Server{
 		Handler:                      s,
--- a/internal/ingress/listener.go
+++ b/internal/ingress/listener.go
@@ -65,7 +65,7 @@
 
 // refusesEarly reports whether requests are refused before the HTTP server has their
 // connections.
-func (s *Server) refusesEarly() bool { return s.forwarder.Throttles() || s.conns.short() }
+func (s *Server) refusesEarly() bool { return s.forwarder.Throttling() || s.conns.short() }
 
 // accept accepts a connection. It returns nil if its caller was turned away.
 func (l listener) accept() (net.Conn, error) {
--- a/internal/ingress/quick.go
+++ b/internal/ingress/quick.go
@@ -85,7 +85,7 @@
 	if !out.ToEngine {
 		return out, ""
 	}
-	return out, s.forwarder.Crowded(out.Organisation, offer(out))
+	return out, s.forwarder.ShedReason(out.Organisation, offer(out))
 }
 
 // quickAnswer returns a refusal as it is written; last tells the caller that the connection
@@ -153,7 +153,7 @@
 // for one that is not whole, and for all that is unusual: a body whose length
 // is not given exactly once, folded lines, the end of the connection asked
 // for.
-func parseHead(b []byte, names *forward.Dialect) (h quickHead, size int, ok bool) {
+func parseHead(b []byte, names *forward.HeaderNames) (h quickHead, size int, ok bool) {
 	end := bytes.Index(b, headEnd)
 	if end < 0 {
 		return h, 0, false
@@ -182,7 +182,7 @@
 }
 
 // header takes a header line into account.
-func (h *quickHead) header(l []byte, names *forward.Dialect) bool {
+func (h *quickHead) header(l []byte, names *forward.HeaderNames) bool {
 	name, value, ok := bytes.Cut(l, []byte(":"))
 	if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") {
 		return false
--- a/internal/ingress/quick_test.go
+++ b/internal/ingress/quick_test.go
@@ -31,7 +31,7 @@
 	RunSpecs(t, "ingress")
 }
 
-var dialect = forward.Dialect{RequestID: "X-Id", Deadline: "X-Wait-Ms", Organisation: "X-Organisation"}
+var dialect = forward.HeaderNames{RequestID: "X-Id", Deadline: "X-Wait-Ms", Organisation: "X-Organisation"}
 
 // unreachable is a sender that reaches nobody.
 type unreachable struct{}
--- a/internal/ingress/told_test.go
+++ b/internal/ingress/told_test.go
@@ -43,7 +43,7 @@
 // requests.
 func newBusyServer(o Observer, short bool) *Server {
 	loop := balance.NewLoop(balance.New(clock.Now(), "z", balance.Limits{}, rand.New(rand.NewPCG(1, 1))))
-	d := forward.Dialect{RequestID: "X-Id"}
+	d := forward.HeaderNames{RequestID: "X-Id"}
 	s := New(d, forward.New(d, nil, loop, nil, logr.Discard(), nil), o, Limits{Requests: 100, Connections: 100}, logr.Discard())
 	s.conns.short = func() bool { return short }
 	return s
