--- a/internal/adapter/peer/convert.go
+++ b/internal/adapter/peer/convert.go
@@ -46,7 +46,7 @@
 		return &peerpb.Envelope{Body: &peerpb.Envelope_Status{Status: encodeStatus(m)}}
 	case message.Loads:
 		return &peerpb.Envelope{Body: &peerpb.Envelope_Loads{Loads: &peerpb.Loads{
-			Loads: encodeLoads(m.Loads), Added: encodeLoads(m.Added),
+			Loads: encodeLoads(m.Loads), Added: encodeLoads(m.Deltas),
 		}}}
 	case message.Copy:
 		return &peerpb.Envelope{Body: &peerpb.Envelope_Copy{Copy: encodeCopy(m)}}
@@ -121,7 +121,7 @@
 	case *peerpb.Envelope_Status:
 		return decodeStatus(b.Status)
 	case *peerpb.Envelope_Loads:
-		return message.Loads{Loads: decodeLoads(b.Loads.GetLoads()), Added: decodeLoads(b.Loads.GetAdded())}
+		return message.Loads{Loads: decodeLoads(b.Loads.GetLoads()), Deltas: decodeLoads(b.Loads.GetAdded())}
 	case *peerpb.Envelope_Copy:
 		return decodeCopy(b.Copy)
 	case *peerpb.Envelope_ZoneStatus:
--- a/internal/adapter/peer/ping.go
+++ b/internal/adapter/peer/ping.go
@@ -8,7 +8,7 @@
 func encodePing(m message.Ping) *peerpb.Ping {
 	out := &peerpb.Ping{
 		From: encodeRecord(m.From), Kind: uint32(m.Kind), Config: m.Config, ConfigVersion: m.Version, Targets: m.Targets, Zones: m.Zones,
-		Digest: m.Digest, WantAll: m.WantAll, Quarantine: m.Quarantine,
+		Digest: m.Digest, WantAll: m.WantAll, Quarantine: m.QuarantineDigest,
 	}
 	for _, r := range m.Records {
 		out.Records = append(out.Records, encodeRecord(r))
@@ -20,7 +20,7 @@
 	out := message.Ping{
 		From: decodeRecord(m.GetFrom()), Kind: message.PingKind(m.GetKind()),
 		Revisions: message.Revisions{Config: m.GetConfig(), Version: m.GetConfigVersion(), Targets: m.GetTargets(), Zones: m.GetZones()},
-		Digest:    m.GetDigest(), WantAll: m.GetWantAll(), Quarantine: m.GetQuarantine(),
+		Digest:    m.GetDigest(), WantAll: m.GetWantAll(), QuarantineDigest: m.GetQuarantine(),
 	}
 	for _, r := range m.GetRecords() {
 		out.Records = append(out.Records, decodeRecord(r))
@@ -31,7 +31,7 @@
 func encodeRecord(r message.RouterRecord) *peerpb.RouterRecord {
 	return &peerpb.RouterRecord{
 		Id: string(r.ID), Zone: r.Zone, Address: r.Address, Peer: r.Peer,
-		Incarnation: r.Incarnation, Version: r.Version, Belief: uint32(r.Belief),
+		Incarnation: r.Incarnation, Version: r.Version, Belief: uint32(r.State),
 		Ready: r.Ready, Leaving: r.Leaving, Serving: r.Serving, StoreTrouble: r.StoreTrouble, Capacity: float32(r.Capacity),
 	}
 }
@@ -39,7 +39,7 @@
 func decodeRecord(r *peerpb.RouterRecord) message.RouterRecord {
 	return message.RouterRecord{
 		ID: message.RouterID(r.GetId()), Zone: r.GetZone(), Address: r.GetAddress(), Peer: r.GetPeer(),
-		Incarnation: r.GetIncarnation(), Version: r.GetVersion(), Belief: message.Belief(r.GetBelief()),
+		Incarnation: r.GetIncarnation(), Version: r.GetVersion(), State: message.RouterState(r.GetBelief()),
 		Ready: r.GetReady(), Leaving: r.GetLeaving(), Serving: r.GetServing(), StoreTrouble: r.GetStoreTrouble(),
 		Capacity: float64(r.GetCapacity()),
 	}
--- a/internal/adapter/peer/status.go
+++ b/internal/adapter/peer/status.go
@@ -9,12 +9,12 @@
 
 func encodeStatus(m message.Status) *peerpb.Status {
 	out := &peerpb.Status{Config: m.Config, ConfigVersion: m.Version, Targets: m.Targets, Zones: m.Zones, Loads: encodeLoads(m.Loads)}
-	for _, k := range m.Kept {
+	for _, k := range m.SharedParts {
 		out.Kept = append(out.Kept, &peerpb.TargetParts{Target: k.Target, Parts: k.Parts})
 	}
 	for _, u := range m.Usage {
 		out.Usage = append(out.Usage, &peerpb.OrganisationUsage{
-			Organisation: u.Organisation, Asked: float32(u.Asked), Begun: float32(u.Begun), Waiting: uint32(u.Waiting),
+			Organisation: u.Organisation, Asked: float32(u.Demand), Begun: float32(u.Started), Waiting: uint32(u.Waiting),
 		})
 	}
 	return out
@@ -26,11 +26,11 @@
 		Loads:     decodeLoads(m.GetLoads()),
 	}
 	for _, k := range m.GetKept() {
-		out.Kept = append(out.Kept, message.TargetParts{Target: k.GetTarget(), Parts: k.GetParts()})
+		out.SharedParts = append(out.SharedParts, message.TargetParts{Target: k.GetTarget(), Parts: k.GetParts()})
 	}
 	for _, u := range m.GetUsage() {
 		out.Usage = append(out.Usage, message.OrganisationUsage{
-			Organisation: u.GetOrganisation(), Asked: float64(u.GetAsked()), Begun: float64(u.GetBegun()), Waiting: int(u.GetWaiting()),
+			Organisation: u.GetOrganisation(), Demand: float64(u.GetAsked()), Started: float64(u.GetBegun()), Waiting: int(u.GetWaiting()),
 		})
 	}
 	return out
@@ -40,7 +40,7 @@
 	var out []*peerpb.TargetLoad
 	for _, l := range list {
 		out = append(out, &peerpb.TargetLoad{
-			Target: l.Target, Unread: uint32(l.Unread), Running: uint32(l.Running), Memory: uint32(l.Memory),
+			Target: l.Target, Unread: uint32(l.PendingTokens), Running: uint32(l.Running), Memory: uint32(l.MemoryTokens),
 		})
 	}
 	return out
@@ -50,7 +50,7 @@
 	var out []message.TargetLoad
 	for _, l := range list {
 		out = append(out, message.TargetLoad{
-			Target: l.GetTarget(), Unread: int(l.GetUnread()), Running: int(l.GetRunning()), Memory: int(l.GetMemory()),
+			Target: l.GetTarget(), PendingTokens: int(l.GetUnread()), Running: int(l.GetRunning()), MemoryTokens: int(l.GetMemory()),
 		})
 	}
 	return out
@@ -59,11 +59,11 @@
 func encodeCopy(m message.Copy) *peerpb.Copy {
 	out := &peerpb.Copy{
 		ConfigRevision: m.ConfigRevision, Config: m.Config, TargetsRevision: m.Targets.Revision,
-		Since: m.Targets.Since, Targets: encodeObjects(m.Targets.List), Gone: encodeObjects(m.Targets.Gone),
-		UnstableMs: uint32(m.Unstable.Milliseconds()),
+		Since: m.Targets.Since, Targets: encodeObjects(m.Targets.List), Gone: encodeObjects(m.Targets.Removed),
+		UnstableMs: uint32(m.UnstableFor.Milliseconds()),
 	}
 	if z := m.Zones; z.Revision > 0 {
-		out.Zones = &peerpb.StoredObjects{Revision: z.Revision, Since: z.Since, List: encodeObjects(z.List), Gone: encodeObjects(z.Gone)}
+		out.Zones = &peerpb.StoredObjects{Revision: z.Revision, Since: z.Since, List: encodeObjects(z.List), Gone: encodeObjects(z.Removed)}
 	}
 	return out
 }
@@ -81,12 +81,12 @@
 	return message.Copy{
 		ConfigRevision: m.GetConfigRevision(), Config: m.GetConfig(),
 		Targets: message.StoredObjects{
-			Revision: m.GetTargetsRevision(), Since: m.GetSince(), List: decodeObjects(m.GetTargets()), Gone: decodeObjects(m.GetGone()),
+			Revision: m.GetTargetsRevision(), Since: m.GetSince(), List: decodeObjects(m.GetTargets()), Removed: decodeObjects(m.GetGone()),
 		},
 		Zones: message.StoredObjects{
-			Revision: z.GetRevision(), Since: z.GetSince(), List: decodeObjects(z.GetList()), Gone: decodeObjects(z.GetGone()),
+			Revision: z.GetRevision(), Since: z.GetSince(), List: decodeObjects(z.GetList()), Removed: decodeObjects(z.GetGone()),
 		},
-		Unstable: time.Duration(m.GetUnstableMs()) * time.Millisecond,
+		UnstableFor: time.Duration(m.GetUnstableMs()) * time.Millisecond,
 	}
 }
 
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -148,7 +148,7 @@
 		return false, errors.Wrapf(err, "configuration of revision %d", revision)
 	}
 	said := message.Revisions{Config: revision, Version: t.Version()}
-	if !said.ConfigNewer(c.Newest()) {
+	if !said.ConfigNewerThan(c.Newest()) {
 		return false, nil
 	}
 	invariant.Check(t.Version() == 0 || t.Version() >= c.version(), invariant.NeverReverts)
@@ -327,11 +327,11 @@
 // Copy returns what is newer than a router that is behind has.
 func (c *Catalog) Copy(now time.Time, need message.NeedCopy) message.Copy {
 	out := message.Copy{Targets: c.targets.since(need.Targets), Zones: c.zones.since(need.Zones)}
-	if c.table != nil && c.Newest().ConfigNewer(message.Revisions(need)) {
+	if c.table != nil && c.Newest().ConfigNewerThan(message.Revisions(need)) {
 		out.ConfigRevision, out.Config = c.configRevision, c.config
 	}
 	if out.Targets.Revision > 0 || out.Zones.Revision > 0 {
-		out.Unstable = c.unstable(now)
+		out.UnstableFor = c.unstable(now)
 	}
 	return out
 }
@@ -339,8 +339,8 @@
 // Take takes over another router's copy of the targets and drained zones. It returns false
 // if that changed nothing.
 func (c *Catalog) Take(now time.Time, m message.Copy) bool {
-	if (c.targets.lacks(m.Targets) || c.zones.lacks(m.Zones)) && m.Unstable > c.unstable(now) {
-		c.unstableUntil = now.Add(m.Unstable)
+	if (c.targets.lacks(m.Targets) || c.zones.lacks(m.Zones)) && m.UnstableFor > c.unstable(now) {
+		c.unstableUntil = now.Add(m.UnstableFor)
 	}
 	drained, _ := c.zones.take(m.Zones)
 	c.hold(now, drained)
--- a/internal/catalog/replica.go
+++ b/internal/catalog/replica.go
@@ -142,7 +142,7 @@
 	}
 	for name, revision := range r.gone {
 		if out.Since > 0 && revision > out.Since {
-			out.Gone = append(out.Gone, message.StoredObject{Name: name, Revision: revision})
+			out.Removed = append(out.Removed, message.StoredObject{Name: name, Revision: revision})
 		}
 	}
 	return out
@@ -163,11 +163,11 @@
 	if m.Since == 0 {
 		return r.replace(m.Revision, m.List)
 	}
-	changes := make([]Change, 0, len(m.List)+len(m.Gone))
+	changes := make([]Change, 0, len(m.List)+len(m.Removed))
 	for _, o := range m.List {
 		changes = append(changes, Change{StoredObject: o})
 	}
-	for _, o := range m.Gone {
+	for _, o := range m.Removed {
 		changes = append(changes, Change{StoredObject: o, Gone: true})
 	}
 	return r.apply(m.Revision, changes), len(changes) > 0
--- a/internal/gateway/awake.go
+++ b/internal/gateway/awake.go
@@ -46,7 +46,7 @@
 
 // confirmedBy takes an answer to a ping for a confirmation if it tells of nothing newer.
 func (g *Gateway) confirmedBy(now time.Time, m message.Ping) {
-	if m.Kind == message.PingAnswer && !m.NewerThan(g.catalog.Complete()) {
+	if m.Kind == message.PingReply && !m.NewerThan(g.catalog.Complete()) {
 		g.confirm(now, string(m.From.ID))
 	}
 }
--- a/internal/gateway/awake_internal_test.go
+++ b/internal/gateway/awake_internal_test.go
@@ -79,9 +79,9 @@
 		paused bool
 	}{
 		"a short sleep":                  {missed: 300 * time.Millisecond},
-		"an answer with nothing newer":   {missed: 5 * time.Second, paused: true, answer: &message.Ping{Kind: message.PingAnswer, Revisions: message.Revisions{Config: 7}}},
+		"an answer with nothing newer":   {missed: 5 * time.Second, paused: true, answer: &message.Ping{Kind: message.PingReply, Revisions: message.Revisions{Config: 7}}},
 		"nobody answers":                 {missed: 5 * time.Second, paused: true},
-		"an answer with something newer": {missed: 5 * time.Second, paused: true, answer: &message.Ping{Kind: message.PingAnswer, Revisions: message.Revisions{Config: 8}}},
+		"an answer with something newer": {missed: 5 * time.Second, paused: true, answer: &message.Ping{Kind: message.PingReply, Revisions: message.Revisions{Config: 8}}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -27,7 +27,7 @@
 		case message.Ping:
 			g.send(g.roster.Take(now, m))
 			g.catchUp(now, from, m.Revisions)
-			g.compareSuspects(now, from, m.Quarantine)
+			g.compareSuspects(now, from, m.QuarantineDigest)
 			g.confirmedBy(now, m)
 			return
 		case message.Status:
@@ -71,7 +71,7 @@
 func (g *Gateway) heardLoads(s *balance.State, now time.Time, from message.RouterID, m message.Loads) {
 	zone := g.roster.Zone(from)
 	if zone != g.known.Zone && now.Sub(g.sums[zone]) < sumAge {
-		for _, l := range m.Added {
+		for _, l := range m.Deltas {
 			s.AddPeerLoad(now, sumName(zone), l.Target, loadOf(l))
 		}
 		return
@@ -88,16 +88,16 @@
 	r := view.Report{
 		Loads:       make(map[string]view.Load, len(m.Loads)),
 		Usage:       make(map[string]view.Usage, len(m.Usage)),
-		SharedParts: make(map[string][]string, len(m.Kept)),
+		SharedParts: make(map[string][]string, len(m.SharedParts)),
 	}
 	for _, l := range m.Loads {
 		r.Loads[l.Target] = loadOf(l)
 	}
-	for _, k := range m.Kept {
+	for _, k := range m.SharedParts {
 		r.SharedParts[k.Target] = k.Parts
 	}
 	for _, u := range m.Usage {
-		r.Usage[u.Organisation] = view.Usage{Demand: u.Asked, Started: u.Begun, Waiting: u.Waiting}
+		r.Usage[u.Organisation] = view.Usage{Demand: u.Demand, Started: u.Started, Waiting: u.Waiting}
 	}
 	return r
 }
@@ -112,7 +112,7 @@
 }
 
 func loadOf(l message.TargetLoad) view.Load {
-	return view.Load{PendingTokens: l.Unread, Running: l.Running, MemoryTokens: l.Memory}
+	return view.Load{PendingTokens: l.PendingTokens, Running: l.Running, MemoryTokens: l.MemoryTokens}
 }
 
 func (g *Gateway) takeCopy(s *balance.State, now time.Time, from member.Member, m message.Copy) {
@@ -236,7 +236,7 @@
 	g.loop.Ask(ctx, func(_ *balance.State, now time.Time) {
 		g.say()
 		for _, r := range g.roster.Live(now) {
-			if !r.Ready || r.Belief != message.Alive {
+			if !r.Ready || r.State != message.Alive {
 				continue
 			}
 			if r.Zone == zone {
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -161,7 +161,7 @@
 		watches := func() bool { return r.Watches(context.Background()) }
 		Eventually(watches).Should(BeFalse())
 		record := fakes[1].self
-		record.Belief = message.Suspected
+		record.State = message.Suspected
 		says := message.Ping{From: fakes[0].self, Kind: message.PingNotice, Records: []message.RouterRecord{record}}
 		Expect(fakes[0].datagrams.Send(r.Known(), says)).To(BeTrue())
 		Eventually(watches).Should(BeTrue())
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -94,13 +94,13 @@
 	if len(list) > linesMost {
 		count := map[string]int{}
 		for _, r := range list {
-			count[r.Belief.String()]++
+			count[r.State.String()]++
 		}
 		g.Log.Info("many routers changed", "count", count)
 		return
 	}
 	for _, r := range list {
-		g.Log.Info("router believed "+r.Belief.String(), "router", r.ID, "peer", r.Peer, "incarnation", r.Incarnation, "version", r.Version)
+		g.Log.Info("router believed "+r.State.String(), "router", r.ID, "peer", r.Peer, "incarnation", r.Incarnation, "version", r.Version)
 	}
 }
 
@@ -261,22 +261,22 @@
 		m.Loads = append(m.Loads, targetLoad(id, l))
 	}
 	for id, parts := range r.SharedParts {
-		m.Kept = append(m.Kept, message.TargetParts{Target: id, Parts: parts})
+		m.SharedParts = append(m.SharedParts, message.TargetParts{Target: id, Parts: parts})
 	}
 	for name, u := range r.Usage {
-		m.Usage = append(m.Usage, message.OrganisationUsage{Organisation: name, Asked: u.Demand, Begun: u.Started, Waiting: u.Waiting})
+		m.Usage = append(m.Usage, message.OrganisationUsage{Organisation: name, Demand: u.Demand, Started: u.Started, Waiting: u.Waiting})
 	}
 	return m
 }
 
 func targetLoad(id string, l view.Load) message.TargetLoad {
-	return message.TargetLoad{Target: id, Unread: l.PendingTokens, Running: l.Running, Memory: l.MemoryTokens}
+	return message.TargetLoad{Target: id, PendingTokens: l.PendingTokens, Running: l.Running, MemoryTokens: l.MemoryTokens}
 }
 
 // tellLoad tells the serving routers at once what own requests put on a target, and
 // what the last one added.
 func (g *Gateway) tellLoad(target string, now, added view.Load) {
-	m := message.Loads{Loads: []message.TargetLoad{targetLoad(target, now)}, Added: []message.TargetLoad{targetLoad(target, added)}}
+	m := message.Loads{Loads: []message.TargetLoad{targetLoad(target, now)}, Deltas: []message.TargetLoad{targetLoad(target, added)}}
 	for _, to := range g.roster.Serving(clock.Now()) {
 		g.tell(roster.Member(to), m)
 	}
--- a/internal/gateway/report_test.go
+++ b/internal/gateway/report_test.go
@@ -52,7 +52,7 @@
 func (f *fakeRouter) say(to *rig, serving bool) {
 	f.self.Version++
 	f.self.Serving = serving
-	sent := f.datagrams.Send(to.Known(), message.Ping{From: f.self, Kind: message.PingAsk})
+	sent := f.datagrams.Send(to.Known(), message.Ping{From: f.self, Kind: message.PingRequest})
 	Expect(sent).To(BeTrue())
 }
 
@@ -212,7 +212,7 @@
 			Eventually(came).Should(Receive())
 		}
 		Eventually(other.told).Should(ConsistOf(
-			message.TargetLoad{Target: "t", Unread: 5050, Running: 2, Memory: 5070},
+			message.TargetLoad{Target: "t", PendingTokens: 5050, Running: 2, MemoryTokens: 5070},
 		))
 	})
 })
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -138,7 +138,7 @@
 func (g *Gateway) running(now time.Time) iter.Seq[message.RouterRecord] {
 	return func(yield func(message.RouterRecord) bool) {
 		for r := range g.roster.Each(now) {
-			if r.Belief == message.Alive && !yield(r) {
+			if r.State == message.Alive && !yield(r) {
 				return
 			}
 		}
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -132,8 +132,8 @@
 	Revisions
 	Loads []TargetLoad
 	Usage []OrganisationUsage
-	// Kept tells of shared parts of prompts that were sent to targets lately.
-	Kept []TargetParts
+	// SharedParts tells of shared parts of prompts that were sent to targets lately.
+	SharedParts []TargetParts
 }
 
 // ZoneStatus is the sum of what the serving routers of an availability zone report.
@@ -151,23 +151,23 @@
 // TargetLoad is what one router's requests put on a target.
 type TargetLoad struct {
 	Target string
-	// Unread is the prompt tokens sent and not yet read, Memory the tokens
+	// PendingTokens is the prompt tokens sent and not yet read, MemoryTokens the tokens
 	// that running requests share with no other.
-	Unread, Running, Memory int
+	PendingTokens, Running, MemoryTokens int
 }
 
 // Loads replaces what the sender's last Status said of a few targets. It is
-// sent at once where much has changed; Added is the change, for those who know the
+// sent at once where much has changed; Deltas is the change, for those who know the
 // sender's loads only as a part of a sum.
 type Loads struct {
-	Loads, Added []TargetLoad
+	Loads, Deltas []TargetLoad
 }
 
 // OrganisationUsage is what an organisation lately asked of one router and
 // got, in tokens.
 type OrganisationUsage struct {
-	Organisation string
-	Asked, Begun float64
+	Organisation    string
+	Demand, Started float64
 	// Waiting is the number of its requests to engines that wait for room.
 	Waiting int
 }
@@ -186,11 +186,11 @@
 
 // NewerThan reports whether anything is newer than in other revisions.
 func (r Revisions) NewerThan(other Revisions) bool {
-	return r.ConfigNewer(other) || r.Targets > other.Targets || r.Zones > other.Zones
+	return r.ConfigNewerThan(other) || r.Targets > other.Targets || r.Zones > other.Zones
 }
 
-// ConfigNewer reports whether the configuration is newer than in other revisions.
-func (r Revisions) ConfigNewer(other Revisions) bool {
+// ConfigNewerThan reports whether the configuration is newer than in other revisions.
+func (r Revisions) ConfigNewerThan(other Revisions) bool {
 	if r.Version != other.Version && r.Version > 0 && other.Version > 0 {
 		return r.Version > other.Version
 	}
@@ -203,9 +203,9 @@
 	ConfigRevision int64
 	Config         []byte
 	Targets, Zones StoredObjects
-	// Unstable is for how much longer entries that go may have gone only
+	// UnstableFor is for how much longer entries that go may have gone only
 	// because the store was away.
-	Unstable time.Duration
+	UnstableFor time.Duration
 }
 
 // StoredObjects is what is to be said of the store's objects of one kind.
@@ -213,10 +213,10 @@
 	// Revision is 0 if there is nothing newer to say.
 	Revision int64
 	// Since is 0 if List is the whole list as of Revision; else List has the objects
-	// that came or changed after revision Since, and Gone those that went, without
+	// that came or changed after revision Since, and Removed those that were deleted, without
 	// values.
-	Since      int64
-	List, Gone []StoredObject
+	Since         int64
+	List, Removed []StoredObject
 }
 
 // StoredObject is an object in the store.
@@ -229,13 +229,13 @@
 // NeedCopy asks for a Copy of what is newer than the given revisions.
 type NeedCopy Revisions
 
-// Belief is what is believed of a router.
-type Belief uint8
+// RouterState is what is believed of a router.
+type RouterState uint8
 
 // The beliefs, each of which outweighs the ones before it.
 const (
 	// Alive is what a router says of itself.
-	Alive Belief = iota
+	Alive RouterState = iota
 	// Suspected routers have not answered.
 	Suspected
 	// Gone routers have not answered and have not denied being suspected.
@@ -243,8 +243,8 @@
 )
 
 // String returns the belief in a word.
-func (b Belief) String() string {
-	switch b {
+func (s RouterState) String() string {
+	switch s {
 	case Alive:
 		return "alive"
 	case Suspected:
@@ -265,7 +265,7 @@
 	// Incarnation tells a router's lives apart; Version orders what is said
 	// during one of them.
 	Incarnation, Version uint64
-	Belief               Belief
+	State                RouterState
 	// Ready is set while the router can serve callers, Leaving once it makes a
 	// planned stop, Serving while it has requests or had some lately.
 	Ready, Leaving, Serving bool
@@ -280,10 +280,10 @@
 
 // The kinds of a Ping.
 const (
-	// PingAsk wants a PingAnswer.
-	PingAsk PingKind = iota
-	// PingAnswer is the sign of life that was asked for.
-	PingAnswer
+	// PingRequest asks the receiver for a PingReply.
+	PingRequest PingKind = iota
+	// PingReply is the sign of life that was asked for.
+	PingReply
 	// PingNotice only passes on what is new.
 	PingNotice
 )
@@ -301,9 +301,9 @@
 	// routers.
 	WantAll bool
 	Records []RouterRecord
-	// Quarantine is a hash over all that the sender knows of requests that ended
+	// QuarantineDigest is a hash over all that the sender knows of requests that ended
 	// targets.
-	Quarantine uint64
+	QuarantineDigest uint64
 }
 
 // Quarantine tells of requests that ended targets.
--- a/internal/roster/detect.go
+++ b/internal/roster/detect.go
@@ -119,11 +119,11 @@
 // and suspects nobody.
 func (r *Roster) suspect(now time.Time, e *entry) {
 	e.asked, e.missed = time.Time{}, 0
-	if !e.known() || e.Belief != message.Alive || r.cutOff(now) {
+	if !e.known() || e.State != message.Alive || r.cutOff(now) {
 		return
 	}
 	n := e.RouterRecord
-	n.Belief = message.Suspected
+	n.State = message.Suspected
 	r.hold(now, e, n)
 }
 
@@ -135,15 +135,15 @@
 	for _, id := range suspects {
 		e := r.others[id]
 		switch {
-		case e == nil || e.Belief != message.Suspected:
+		case e == nil || e.State != message.Suspected:
 		case r.cutOff(now):
 			// Nothing of what was noted meanwhile tells more than that.
-			e.Belief = message.Alive
+			e.State = message.Alive
 		case now.Sub(e.since) < suspicionTime || now.Sub(e.heard) < suspicionTime && !e.heard.IsZero():
 			r.suspects = append(r.suspects, id)
 		default:
 			n := e.RouterRecord
-			n.Belief = message.Gone
+			n.State = message.Gone
 			r.hold(now, e, n)
 		}
 	}
@@ -168,7 +168,7 @@
 	}
 	for _, peer := range r.seeds {
 		if !r.believedAt(now, peer) {
-			out = append(out, Send{Peer: peer, Ping: r.ping(message.PingAsk, false)})
+			out = append(out, Send{Peer: peer, Ping: r.ping(message.PingRequest, false)})
 		}
 	}
 	return out
@@ -185,8 +185,8 @@
 func (r *Roster) ask(now time.Time, e *entry) Send {
 	e.asked = now
 	r.waiting = append(r.waiting, e.ID)
-	m := r.ping(message.PingAsk, false)
-	if e.Belief != message.Alive {
+	m := r.ping(message.PingRequest, false)
+	if e.State != message.Alive {
 		// It must hear of that to deny it.
 		m.Records = []message.RouterRecord{e.RouterRecord}
 	}
--- a/internal/roster/known.go
+++ b/internal/roster/known.go
@@ -105,7 +105,7 @@
 			continue
 		}
 		all++
-		if e.known() && e.Belief == message.Alive {
+		if e.known() && e.State == message.Alive {
 			alive++
 		}
 	}
@@ -122,7 +122,7 @@
 		running, all = running+1, all+1
 	}
 	for _, e := range r.list {
-		if e.known() && e.Belief == message.Alive && slices.Contains(r.seeds, e.Peer) {
+		if e.known() && e.State == message.Alive && slices.Contains(r.seeds, e.Peer) {
 			running++
 		}
 	}
@@ -162,7 +162,7 @@
 	if !e.known() {
 		return e.listed && now.Sub(e.since) < startTime
 	}
-	return e.Belief != message.Gone
+	return e.State != message.Gone
 }
 
 // hash returns a hash of what orders records.
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -80,7 +80,7 @@
 type entry struct {
 	message.RouterRecord
 	listed bool
-	// heard is when it last said something, since when its Belief has been held.
+	// heard is when it last said something, since when its State has been held.
 	heard, since time.Time
 	// asked is when it was last pinged without an answer yet, missed how many
 	// pings before that had none.
@@ -90,7 +90,7 @@
 
 // weight is what the entry adds to the digest.
 func (e *entry) weight() uint64 {
-	if !e.known() || e.Belief == message.Gone {
+	if !e.known() || e.State == message.Gone {
 		return 0
 	}
 	return hash(e.RouterRecord)
@@ -244,11 +244,11 @@
 		r.merge(now, record)
 	}
 	var out []Send
-	if m.Kind == message.PingAsk {
+	if m.Kind == message.PingRequest {
 		out = append(out, r.answer(e, m)...)
 	}
 	if r.wantsAll(now, e, m.Digest, first) {
-		out = append(out, Send{Peer: e.Peer, Ping: r.ping(message.PingAsk, true)})
+		out = append(out, Send{Peer: e.Peer, Ping: r.ping(message.PingRequest, true)})
 	}
 	return out
 }
@@ -289,7 +289,7 @@
 			}
 		}
 	}
-	out := []Send{{Peer: m.From.Peer, Ping: r.ping(message.PingAnswer, false)}}
+	out := []Send{{Peer: m.From.Peer, Ping: r.ping(message.PingReply, false)}}
 	for i, part := range chunks(all) {
 		if i > 0 {
 			out = append(out, Send{Peer: m.From.Peer, Ping: r.ping(message.PingNotice, false)})
@@ -327,7 +327,7 @@
 		r.deny(n)
 		return
 	}
-	if r.others[n.ID] == nil && n.Belief == message.Gone {
+	if r.others[n.ID] == nil && n.State == message.Gone {
 		return
 	}
 	e := r.entry(now, n.ID)
@@ -344,7 +344,7 @@
 	e.since = now
 	r.learned = now
 	r.digest ^= e.weight()
-	if n.Belief == message.Suspected {
+	if n.State == message.Suspected {
 		r.suspects = append(r.suspects, n.ID)
 	}
 	r.tell(n.ID)
@@ -352,7 +352,7 @@
 
 // note keeps a record for Changes if it changes what is believed of a router.
 func (r *Roster) note(e *entry, n message.RouterRecord) {
-	if !e.known() || e.Incarnation != n.Incarnation || e.Belief != n.Belief {
+	if !e.known() || e.Incarnation != n.Incarnation || e.State != n.State {
 		r.changes = append(r.changes, n)
 	}
 }
@@ -374,7 +374,7 @@
 		next.Incarnation = n.Incarnation + 1
 	case n.Incarnation < next.Incarnation, n.Version < next.Version:
 		return
-	case n.Version == next.Version && n.Belief == message.Alive:
+	case n.Version == next.Version && n.State == message.Alive:
 		return
 	default:
 		next.Version = n.Version + 1
@@ -396,7 +396,7 @@
 	if c := cmp.Compare(a.Version, b.Version); c != 0 {
 		return c > 0
 	}
-	return a.Belief > b.Belief
+	return a.State > b.State
 }
 
 // tell notes that something new of a router is to be passed on.
@@ -410,7 +410,7 @@
 func (r *Roster) ping(kind message.PingKind, all bool) message.Ping {
 	return message.Ping{
 		From: r.self, Kind: kind, Revisions: r.has, Digest: r.digest, WantAll: all,
-		Quarantine: r.quarantine,
+		QuarantineDigest: r.quarantine,
 	}
 }
 
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -251,7 +251,7 @@
 			for _, r := range sleepers {
 				for _, change := range r.Changes() {
 					awake := !slices.ContainsFunc(sleepers, func(s *router) bool { return s.name == string(change.ID) })
-					Expect(awake && change.Belief == message.Gone).To(BeFalse(), "%s believes %s %s after %v", r.name, change.ID, change.Belief, length)
+					Expect(awake && change.State == message.Gone).To(BeFalse(), "%s believes %s %s after %v", r.name, change.ID, change.State, length)
 				}
 			}
 			Expect(f.settles(10*time.Second)).To(BeNumerically("<", 4*time.Second), "after %v", length)
@@ -388,22 +388,22 @@
 		now := time.Unix(1, 0)
 		r := roster.New(now, message.RouterRecord{ID: "a", Peer: "a:1", Incarnation: 1}, nil, rand.New(rand.NewPCG(1, 1)))
 		b := message.RouterRecord{ID: "b", Peer: "b:1", Incarnation: 1, Version: 1}
-		beliefs := func() []message.Belief {
-			var list []message.Belief
+		beliefs := func() []message.RouterState {
+			var list []message.RouterState
 			for _, c := range r.Changes() {
-				list = append(list, c.Belief)
+				list = append(list, c.State)
 			}
 			return list
 		}
 		r.Take(now, message.Ping{From: b})
-		Expect(beliefs()).To(Equal([]message.Belief{message.Alive}))
+		Expect(beliefs()).To(Equal([]message.RouterState{message.Alive}))
 		b.Version = 2
 		r.Take(now, message.Ping{From: b})
 		Expect(beliefs()).To(BeEmpty())
 		other := message.RouterRecord{ID: "c", Peer: "c:1", Incarnation: 1, Version: 1}
-		b.Belief = message.Gone
+		b.State = message.Gone
 		r.Take(now, message.Ping{From: other, Records: []message.RouterRecord{b}})
-		Expect(beliefs()).To(Equal([]message.Belief{message.Alive, message.Gone}))
+		Expect(beliefs()).To(Equal([]message.RouterState{message.Alive, message.Gone}))
 	})
 
 	It("goes to the seeds until it knows somebody, and to who is listed", func() {
--- a/internal/zonesum/zonesum.go
+++ b/internal/zonesum/zonesum.go
@@ -44,7 +44,7 @@
 		s.reports, s.sharedParts = map[message.RouterID]report{}, map[string][]string{}
 	}
 	s.reports[id] = report{m, now}
-	for _, k := range m.Kept {
+	for _, k := range m.SharedParts {
 		s.sharedParts[k.Target] = append(s.sharedParts[k.Target], k.Parts...)
 	}
 }
@@ -82,20 +82,20 @@
 		for _, l := range r.Loads {
 			sum := loads[l.Target]
 			loads[l.Target] = message.TargetLoad{
-				Target: l.Target, Unread: sum.Unread + l.Unread, Running: sum.Running + l.Running, Memory: sum.Memory + l.Memory,
+				Target: l.Target, PendingTokens: sum.PendingTokens + l.PendingTokens, Running: sum.Running + l.Running, MemoryTokens: sum.MemoryTokens + l.MemoryTokens,
 			}
 		}
 		for _, u := range r.Usage {
 			sum := usage[u.Organisation]
 			usage[u.Organisation] = message.OrganisationUsage{
-				Organisation: u.Organisation, Asked: sum.Asked + u.Asked, Begun: sum.Begun + u.Begun, Waiting: sum.Waiting + u.Waiting,
+				Organisation: u.Organisation, Demand: sum.Demand + u.Demand, Started: sum.Started + u.Started, Waiting: sum.Waiting + u.Waiting,
 			}
 		}
 	}
 	out.Loads = slices.Collect(maps.Values(loads))
 	out.Usage = slices.Collect(maps.Values(usage))
 	for target, parts := range s.sharedParts {
-		out.Kept = append(out.Kept, message.TargetParts{Target: target, Parts: parts})
+		out.SharedParts = append(out.SharedParts, message.TargetParts{Target: target, Parts: parts})
 	}
 	clear(s.sharedParts)
 	return out
@@ -112,7 +112,7 @@
 	var list []message.RouterRecord
 	largest := 0.0
 	for _, r := range serving {
-		if r.Zone == zone && r.Belief == message.Alive {
+		if r.Zone == zone && r.State == message.Alive {
 			list = append(list, r)
 			largest = max(largest, r.Capacity)
 		}
--- a/internal/zonesum/zonesum_test.go
+++ b/internal/zonesum/zonesum_test.go
@@ -34,7 +34,7 @@
 			s.UpdateReport(start.Add(now), id, m)
 			unsummed = append(unsummed, parts(m)...)
 			if rapid.Bool().Draw(t, "load") {
-				l := message.TargetLoad{Target: "t1", Unread: rapid.IntRange(0, 9).Draw(t, "unread"), Running: 1}
+				l := message.TargetLoad{Target: "t1", PendingTokens: rapid.IntRange(0, 9).Draw(t, "unread"), Running: 1}
 				s.UpdateLoads(id, []message.TargetLoad{l})
 				m.Loads = append(slices.DeleteFunc(slices.Clone(m.Loads), func(old message.TargetLoad) bool { return old.Target == "t1" }), l)
 				all[id] = timedStatus{m, now}
@@ -64,9 +64,9 @@
 	var m message.Status
 	for i := range rapid.IntRange(0, 3).Draw(t, "targets") {
 		n := rapid.IntRange(0, 100).Draw(t, "load")
-		m.Loads = append(m.Loads, message.TargetLoad{Target: fmt.Sprint("t", i), Unread: n, Running: n + 1, Memory: n + 2})
-		m.Kept = append(m.Kept, message.TargetParts{Target: fmt.Sprint("t", i), Parts: []string{fmt.Sprint("p", n)}})
-		m.Usage = append(m.Usage, message.OrganisationUsage{Organisation: fmt.Sprint("o", i), Asked: float64(n), Begun: float64(n / 2), Waiting: n})
+		m.Loads = append(m.Loads, message.TargetLoad{Target: fmt.Sprint("t", i), PendingTokens: n, Running: n + 1, MemoryTokens: n + 2})
+		m.SharedParts = append(m.SharedParts, message.TargetParts{Target: fmt.Sprint("t", i), Parts: []string{fmt.Sprint("p", n)}})
+		m.Usage = append(m.Usage, message.OrganisationUsage{Organisation: fmt.Sprint("o", i), Demand: float64(n), Started: float64(n / 2), Waiting: n})
 	}
 	return m
 }
@@ -79,17 +79,17 @@
 		sums[name] = [3]int{s[0] + a, s[1] + b, s[2] + c}
 	}
 	for _, l := range m.Loads {
-		add(l.Target, l.Unread, l.Running, l.Memory)
+		add(l.Target, l.PendingTokens, l.Running, l.MemoryTokens)
 	}
 	for _, u := range m.Usage {
-		add(u.Organisation, int(u.Asked), int(u.Begun), u.Waiting)
+		add(u.Organisation, int(u.Demand), int(u.Started), u.Waiting)
 	}
 	return fmt.Sprint(sums)
 }
 
 func parts(m message.Status) []string {
 	var out []string
-	for _, k := range m.Kept {
+	for _, k := range m.SharedParts {
 		for _, p := range k.Parts {
 			out = append(out, k.Target+p)
 		}
@@ -104,8 +104,8 @@
 }
 
 func TestSelectRelay(t *testing.T) {
-	r := func(id, zone string, capacity float64, belief message.Belief) message.RouterRecord {
-		return message.RouterRecord{ID: message.RouterID(id), Zone: zone, Capacity: capacity, Belief: belief}
+	r := func(id, zone string, capacity float64, belief message.RouterState) message.RouterRecord {
+		return message.RouterRecord{ID: message.RouterID(id), Zone: zone, Capacity: capacity, State: belief}
 	}
 	small, other := r("small", "z", 0.2, message.Alive), r("other", "y", 0.8, message.Alive)
 	a, b := r("a", "z", 0.8, message.Alive), r("b", "z", 0.5, message.Alive)
