--- a/internal/ingress/quick_test.go
+++ b/internal/ingress/quick_test.go
@@ -52,9 +52,9 @@
 // ended keeps nothing of what it is told.
 type ended struct{}
 
-func (ended) Ended(forward.Request, forward.Verdict, time.Duration) {}
-func (ended) CountRetry(forward.Reason)                             {}
-func (ended) CountAdvice(forward.Advice)                            {}
+func (ended) Ended(forward.Request, forward.Result, time.Duration) {}
+func (ended) CountRetry(forward.Reason)                            {}
+func (ended) CountAdvice(forward.Advice)                           {}
 
 // maxConnections is the most connections that newServer's server has.
 const maxConnections = 3
@@ -98,7 +98,7 @@
 			})
 		}
 	})
-	for loop.Crowded("loud", throttle.RequestSize{}) == "" {
+	for loop.Check("loud", throttle.RequestSize{}) == "" {
 		time.Sleep(time.Millisecond)
 	}
 	f := forward.New(dialect, unreachable{}, loop, trusting{}, logr.Discard(), ended{})
