--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -17,13 +17,15 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// drainTime is for how long a target serves on that leaves.
-const drainTime = 2 * time.Second
+// drainPeriod is how long a leaving target continues to serve.
+const drainPeriod = 2 * time.Second
 
-// silenceTime is after how long the store takes out the entry of a target that writes no more.
-const silenceTime = 4 * time.Second
+// entryTTL is the time after which the store removes the entry of a target that has stopped
+// writing it.
+const entryTTL = 4 * time.Second
 
-// codec reads a table's version, and a target whose value is its address.
+// codec decodes a configuration that is only a version number, and a target whose value is its
+// address.
 type codec struct{}
 
 func (codec) Table(value []byte) (*routing.Table, error) {
@@ -34,7 +36,7 @@
 	return routing.New(routing.Spec{Version: v, Services: []routing.Service{{Name: "s"}}})
 }
 
-// noneIgnored checks that all entries named targets to use.
+// noneIgnored checks that all entries described usable targets.
 func noneIgnored(t interface{ Fatalf(string, ...any) }, c *catalog.Catalog) {
 	if list, _ := c.Ignored(); len(list) > 0 {
 		t.Fatalf("ignored: %v", list)
@@ -45,12 +47,12 @@
 	return balance.Target{ID: name, Service: "s", Address: string(value)}, nil
 }
 
-// history is a store: the naive account of what each revision held.
+// history is a simple model of a store that keeps all its changes, one per revision.
 type history struct {
 	events []catalog.Change
 }
 
-// at returns the targets as of a revision, by name.
+// at returns the objects of the targets as of a revision, by name.
 func (h *history) at(revision int64) map[string]message.StoredObject {
 	out := map[string]message.StoredObject{}
 	for _, e := range h.events {
@@ -70,15 +72,15 @@
 	return slices.Collect(maps.Values(h.at(revision)))
 }
 
-// TestCopies feeds two routers' catalogs from a store, late, in parts, twice,
-// and from one another, and compares what they hold with what the store held
-// at the revision that they name.
+// TestCopies updates the catalogs of two routers from a store, with delayed, partial and repeated
+// lists and changes, and from each other. It compares their targets with those of the store as of
+// the revision that the catalog returns.
 func TestCopies(t *testing.T) {
 	invariant.Strict()
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		h := &history{}
-		pair := []*catalog.Catalog{catalog.New(codec{}, drainTime, silenceTime), catalog.New(codec{}, drainTime, silenceTime)}
+		pair := []*catalog.Catalog{catalog.New(codec{}, drainPeriod, entryTTL), catalog.New(codec{}, drainPeriod, entryTTL)}
 		which := func() *catalog.Catalog { return pair[rapid.IntRange(0, 1).Draw(t, "router")] }
 		revision := func() int64 { return int64(rapid.IntRange(0, len(h.events)).Draw(t, "revision")) }
 		configs := map[*catalog.Catalog]int64{}
@@ -99,19 +101,19 @@
 			},
 			"watch": func(t *rapid.T) {
 				c := which()
-				from := int64(rapid.IntRange(0, int(c.Revision())).Draw(t, "from"))
+				from := int64(rapid.IntRange(0, int(c.TargetsRevision())).Draw(t, "from"))
 				to := max(revision(), from)
-				c.Apply(now, to, slices.Clone(h.events[from:to]))
+				c.ApplyTargets(now, to, slices.Clone(h.events[from:to]))
 				noneIgnored(t, c)
 			},
 			"copy": func(t *rapid.T) {
 				i := rapid.IntRange(0, 1).Draw(t, "to")
 				to, from := pair[i], pair[1-i]
-				m := from.Copy(now, message.NeedCopy{Config: to.ConfigRevision(), Targets: to.Revision()})
-				to.Take(now, m)
+				m := from.Copy(now, message.NeedCopy{Config: to.ConfigRevision(), Targets: to.TargetsRevision()})
+				to.Merge(now, m)
 				noneIgnored(t, to)
-				if to.Revision() < from.Changed() {
-					t.Fatalf("at %d after a copy of changes up to %d", to.Revision(), from.Changed())
+				if to.TargetsRevision() < from.TargetsChanged() {
+					t.Fatalf("at %d after a copy of changes up to %d", to.TargetsRevision(), from.TargetsChanged())
 				}
 				if len(m.Config) > 0 {
 					if _, err := to.SetConfig(m.ConfigRevision, m.Config); err != nil {
@@ -131,14 +133,14 @@
 						t.Fatalf("configuration went back to %d", c.ConfigRevision())
 					}
 					configs[c] = c.ConfigRevision()
-					want := h.at(c.Revision())
+					want := h.at(c.TargetsRevision())
 					got := c.Targets()
 					if len(got) != len(want) {
-						t.Fatalf("at %d: have %v, want %v", c.Revision(), got, want)
+						t.Fatalf("at %d: have %v, want %v", c.TargetsRevision(), got, want)
 					}
 					for _, target := range got {
 						if string(want[target.ID].Value) != target.Address {
-							t.Fatalf("at %d: have %v, want %v", c.Revision(), target, want[target.ID])
+							t.Fatalf("at %d: have %v, want %v", c.TargetsRevision(), target, want[target.ID])
 						}
 					}
 				}
@@ -149,17 +151,17 @@
 
 func TestLapse(t *testing.T) {
 	now := time.Now()
-	c := catalog.New(codec{}, drainTime, silenceTime)
+	c := catalog.New(codec{}, drainPeriod, entryTTL)
 	entry := []message.StoredObject{{Name: "a", Revision: 1, Value: []byte("x")}}
 	c.SetTargets(now, 1, entry)
 	noneIgnored(t, c)
-	c.Unstable(now)
+	c.MarkUnstable(now)
 	c.SetTargets(now, 2, nil)
 	noneIgnored(t, c)
 	if len(c.Targets()) != 1 {
 		t.Fatal("a target whose entry lapsed while the store was away is not used")
 	}
-	if len(c.Expire(now.Add(3*time.Second))) != 1 || len(c.Targets()) != 0 {
+	if len(c.ExpireLapsed(now.Add(3*time.Second))) != 1 || len(c.Targets()) != 0 {
 		t.Fatal("a target that did not come back is still used")
 	}
 	c.SetTargets(now, 3, entry)
@@ -169,25 +171,25 @@
 	}
 }
 
-// TestLapseIsPassedOn has two routers copy from one another while one of them
-// has seen the store in trouble: both keep a lapsed entry as long as that one
-// alone would, however often they copy.
+// TestLapseIsPassedOn checks that two routers that copy from each other, one of which has seen
+// trouble with the store, keep a lapsed entry as long as that one would alone, however often they
+// copy.
 func TestLapseIsPassedOn(t *testing.T) {
 	now := time.Now()
-	a, b := catalog.New(codec{}, drainTime, silenceTime), catalog.New(codec{}, drainTime, silenceTime)
+	a, b := catalog.New(codec{}, drainPeriod, entryTTL), catalog.New(codec{}, drainPeriod, entryTTL)
 	target := func(name string, revision int64) message.StoredObject {
 		return message.StoredObject{Name: name, Revision: revision, Value: []byte("x")}
 	}
 	take := func(to, from *catalog.Catalog) {
 		t.Helper()
-		to.Take(now, from.Copy(now, message.NeedCopy{Targets: to.Revision()}))
+		to.Merge(now, from.Copy(now, message.NeedCopy{Targets: to.TargetsRevision()}))
 		noneIgnored(t, to)
 	}
 	a.SetTargets(now, 1, []message.StoredObject{target("a", 1), target("b", 1)})
 	noneIgnored(t, a)
 	take(b, a)
-	a.Unstable(now)
-	a.Apply(now, 2, []catalog.Change{{StoredObject: target("a", 2), Gone: true}})
+	a.MarkUnstable(now)
+	a.ApplyTargets(now, 2, []catalog.Change{{StoredObject: target("a", 2), Gone: true}})
 	noneIgnored(t, a)
 	take(b, a)
 	if len(b.Targets()) != 2 {
@@ -198,11 +200,11 @@
 		now = now.Add(100 * time.Millisecond)
 		to, from := pair[revision%2], pair[1-revision%2]
 		change := catalog.Change{StoredObject: target("b", revision)}
-		from.Apply(now, revision, []catalog.Change{change})
+		from.ApplyTargets(now, revision, []catalog.Change{change})
 		noneIgnored(t, from)
 		take(to, from)
-		to.Expire(now)
-		from.Expire(now)
+		to.ExpireLapsed(now)
+		from.ExpireLapsed(now)
 	}
 	for _, c := range pair {
 		if len(c.Targets()) != 1 {
@@ -211,8 +213,8 @@
 	}
 }
 
-// TestLapseUnderNewTrouble has a router meet trouble with the store again and
-// again after entries have gone.
+// TestLapseUnderNewTrouble checks how long lapsed entries are used while a router repeatedly has
+// trouble with the store after they disappeared.
 func TestLapseUnderNewTrouble(t *testing.T) {
 	cases := map[string]struct {
 		left int // of four entries
@@ -224,20 +226,20 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
-			k := catalog.New(codec{}, drainTime, silenceTime)
+			k := catalog.New(codec{}, drainPeriod, entryTTL)
 			var list []message.StoredObject
 			for i := range 4 {
 				list = append(list, message.StoredObject{Name: strconv.Itoa(i), Revision: 1, Value: []byte("x")})
 			}
 			k.SetTargets(now, 1, list)
 			noneIgnored(t, k)
-			k.Unstable(now)
+			k.MarkUnstable(now)
 			k.SetTargets(now, 2, list[:c.left])
 			noneIgnored(t, k)
 			for range 20 {
 				now = now.Add(100 * time.Millisecond)
-				k.Unstable(now)
-				k.Expire(now)
+				k.MarkUnstable(now)
+				k.ExpireLapsed(now)
 			}
 			if got := len(k.Targets()) == 4; got != c.kept {
 				t.Errorf("entries still used after two seconds: %t, want %t", got, c.kept)
@@ -246,34 +248,34 @@
 	}
 }
 
-// TestGoneBeforeTheFirstList plays routers of which one starts after a target's
-// entry went: its list cannot say so, and the others must still hear of it.
+// TestGoneBeforeTheFirstList checks that routers learn of the removal of an entry from a router that
+// has started after it, although the first list of that router doesn't contain the removal.
 func TestGoneBeforeTheFirstList(t *testing.T) {
 	now := time.Now()
 	kept, gone := stored("kept", 1), stored("gone", 2)
-	old, fresh := catalog.New(codec{}, drainTime, silenceTime), catalog.New(codec{}, drainTime, silenceTime)
+	old, fresh := catalog.New(codec{}, drainPeriod, entryTTL), catalog.New(codec{}, drainPeriod, entryTTL)
 	old.SetTargets(now, 2, []message.StoredObject{kept, gone})
 	noneIgnored(t, old)
-	// The entry went with revision 3.
+	// Revision 3 removed the entry.
 	fresh.SetTargets(now, 3, []message.StoredObject{kept})
 	noneIgnored(t, fresh)
-	if fresh.Changed() <= old.Revision() {
-		t.Fatalf("the newest change is told as %d, known is %d", fresh.Changed(), old.Revision())
+	if fresh.TargetsChanged() <= old.TargetsRevision() {
+		t.Fatalf("the newest change is told as %d, known is %d", fresh.TargetsChanged(), old.TargetsRevision())
 	}
-	old.Take(now, fresh.Copy(now, message.NeedCopy{Targets: old.Revision()}))
+	old.Merge(now, fresh.Copy(now, message.NeedCopy{Targets: old.TargetsRevision()}))
 	noneIgnored(t, old)
 	if n := len(old.Targets()); n != 1 {
 		t.Errorf("%d targets, want the one that is left", n)
 	}
-	// Who has it from another router makes nobody ask for it again.
-	third := catalog.New(codec{}, drainTime, silenceTime)
+	// A router with the list of another router doesn't make others request it again.
+	third := catalog.New(codec{}, drainPeriod, entryTTL)
 	third.SetTargets(now, 4, []message.StoredObject{kept})
 	noneIgnored(t, third)
-	last := catalog.New(codec{}, drainTime, silenceTime)
-	last.Take(now, old.Copy(now, message.NeedCopy{}))
+	last := catalog.New(codec{}, drainPeriod, entryTTL)
+	last.Merge(now, old.Copy(now, message.NeedCopy{}))
 	noneIgnored(t, last)
-	if last.Changed() > third.Revision() {
-		t.Errorf("a copy is told as the newest change, %d", last.Changed())
+	if last.TargetsChanged() > third.TargetsRevision() {
+		t.Errorf("a copy is told as the newest change, %d", last.TargetsChanged())
 	}
 }
 
@@ -281,8 +283,8 @@
 	return message.StoredObject{Name: name, Revision: revision, Value: []byte("address")}
 }
 
-// TestLapseFollowsDrain has entries go in the store's trouble where targets that
-// leave serve on for different times.
+// TestLapseFollowsDrain checks how long lapsed entries are used for different drain periods of
+// leaving targets.
 func TestLapseFollowsDrain(t *testing.T) {
 	cases := map[string]struct{ drain, lapse time.Duration }{
 		"short":       {drain: time.Second, lapse: 800 * time.Millisecond},
@@ -294,17 +296,17 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
-			k := catalog.New(codec{}, c.drain, silenceTime)
+			k := catalog.New(codec{}, c.drain, entryTTL)
 			k.SetTargets(now, 1, []message.StoredObject{stored("a", 1)})
 			noneIgnored(t, k)
-			k.Unstable(now)
+			k.MarkUnstable(now)
 			k.SetTargets(now, 2, nil)
 			noneIgnored(t, k)
 			if c.lapse > 0 {
-				if expired := k.Expire(now.Add(c.lapse - time.Millisecond)); len(expired) > 0 {
+				if expired := k.ExpireLapsed(now.Add(c.lapse - time.Millisecond)); len(expired) > 0 {
 					t.Errorf("given up before %v", c.lapse)
 				}
-				k.Expire(now.Add(c.lapse))
+				k.ExpireLapsed(now.Add(c.lapse))
 			}
 			if n := len(k.Targets()); n > 0 {
 				t.Errorf("still used after %v", c.lapse)
@@ -313,20 +315,20 @@
 	}
 }
 
-// TestLapseEndsWhenEntriesAreBack has an entry go late in the time in which entries
-// may lapse: it is not used for as long again.
+// TestLapseEndsWhenEntriesAreBack checks that an entry that disappears late in the unstable period
+// is used only until the end of this period.
 func TestLapseEndsWhenEntriesAreBack(t *testing.T) {
 	now := time.Now()
-	c := catalog.New(codec{}, drainTime, silenceTime)
+	c := catalog.New(codec{}, drainPeriod, entryTTL)
 	c.SetTargets(now, 2, []message.StoredObject{stored("stays", 1), stored("goes", 2)})
 	noneIgnored(t, c)
-	c.Unstable(now)
-	c.Apply(now.Add(1700*time.Millisecond), 3, []catalog.Change{{StoredObject: stored("goes", 3), Gone: true}})
+	c.MarkUnstable(now)
+	c.ApplyTargets(now.Add(1700*time.Millisecond), 3, []catalog.Change{{StoredObject: stored("goes", 3), Gone: true}})
 	noneIgnored(t, c)
 	if n := len(c.Targets()); n != 2 {
 		t.Fatalf("%d targets in use as an entry lapses, want 2", n)
 	}
-	if expired := c.Expire(now.Add(1900 * time.Millisecond)); len(expired) != 1 {
+	if expired := c.ExpireLapsed(now.Add(1900 * time.Millisecond)); len(expired) != 1 {
 		t.Errorf("given up when others would be back: %v, want the one that went", expired)
 	}
 }
