--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -113,7 +113,7 @@
 				to.Merge(now, m)
 				noneIgnored(t, to)
 				if to.TargetsRevision() < from.TargetsChanged() {
-					t.Fatalf("at %d after a copy of changes up to %d", to.TargetsRevision(), from.TargetsChanged())
+					t.Fatalf("at revision %d after a copy with changes up to %d", to.TargetsRevision(), from.TargetsChanged())
 				}
 				if len(m.Config) > 0 {
 					if _, err := to.SetConfig(m.ConfigRevision, m.Config); err != nil {
@@ -130,7 +130,7 @@
 			"": func(t *rapid.T) {
 				for _, c := range pair {
 					if c.ConfigRevision() < configs[c] {
-						t.Fatalf("configuration went back to %d", c.ConfigRevision())
+						t.Fatalf("configuration went back to revision %d", c.ConfigRevision())
 					}
 					configs[c] = c.ConfigRevision()
 					want := h.at(c.TargetsRevision())
@@ -159,7 +159,7 @@
 	c.SetTargets(now, 2, nil)
 	noneIgnored(t, c)
 	if len(c.Targets()) != 1 {
-		t.Fatal("a target whose entry lapsed while the store was away is not used")
+		t.Fatal("a target whose entry lapsed while the store was unavailable is not used")
 	}
 	if len(c.ExpireLapsed(now.Add(3*time.Second))) != 1 || len(c.Targets()) != 0 {
 		t.Fatal("a target that did not come back is still used")
@@ -171,10 +171,10 @@
 	}
 }
 
-// TestLapseIsPassedOn checks that two routers that copy from each other, one of which has seen
+// TestLapseIsForwarded checks that two routers that copy from each other, one of which has seen
 // trouble with the store, keep a lapsed entry as long as that one would alone, however often they
 // copy.
-func TestLapseIsPassedOn(t *testing.T) {
+func TestLapseIsForwarded(t *testing.T) {
 	now := time.Now()
 	a, b := catalog.New(codec{}, drainPeriod, entryTTL), catalog.New(codec{}, drainPeriod, entryTTL)
 	target := func(name string, revision int64) message.StoredObject {
@@ -193,7 +193,7 @@
 	noneIgnored(t, a)
 	take(b, a)
 	if len(b.Targets()) != 2 {
-		t.Fatal("a router does not keep an entry that has lapsed at the one that told it")
+		t.Fatal("a router does not keep an entry that has lapsed at the router that it copies from")
 	}
 	pair := []*catalog.Catalog{a, b}
 	for revision := int64(3); revision < 30; revision++ {
@@ -248,9 +248,9 @@
 	}
 }
 
-// TestGoneBeforeTheFirstList checks that routers learn of the removal of an entry from a router that
+// TestRemovalBeforeFirstList checks that routers learn of the removal of an entry from a router that
 // has started after it, although the first list of that router doesn't contain the removal.
-func TestGoneBeforeTheFirstList(t *testing.T) {
+func TestRemovalBeforeFirstList(t *testing.T) {
 	now := time.Now()
 	kept, gone := stored("kept", 1), stored("gone", 2)
 	old, fresh := catalog.New(codec{}, drainPeriod, entryTTL), catalog.New(codec{}, drainPeriod, entryTTL)
@@ -260,12 +260,12 @@
 	fresh.SetTargets(now, 3, []message.StoredObject{kept})
 	noneIgnored(t, fresh)
 	if fresh.TargetsChanged() <= old.TargetsRevision() {
-		t.Fatalf("the newest change is told as %d, known is %d", fresh.TargetsChanged(), old.TargetsRevision())
+		t.Fatalf("the newest change is %d, want a later one than the known %d", fresh.TargetsChanged(), old.TargetsRevision())
 	}
 	old.Merge(now, fresh.Copy(now, message.NeedCopy{Targets: old.TargetsRevision()}))
 	noneIgnored(t, old)
 	if n := len(old.Targets()); n != 1 {
-		t.Errorf("%d targets, want the one that is left", n)
+		t.Errorf("%d targets, want only the kept one", n)
 	}
 	// A router with the list of another router doesn't make others request it again.
 	third := catalog.New(codec{}, drainPeriod, entryTTL)
@@ -275,7 +275,7 @@
 	last.Merge(now, old.Copy(now, message.NeedCopy{}))
 	noneIgnored(t, last)
 	if last.TargetsChanged() > third.TargetsRevision() {
-		t.Errorf("a copy is told as the newest change, %d", last.TargetsChanged())
+		t.Errorf("a copy counts as the newest change, %d", last.TargetsChanged())
 	}
 }
 
@@ -304,7 +304,7 @@
 			noneIgnored(t, k)
 			if c.lapse > 0 {
 				if expired := k.ExpireLapsed(now.Add(c.lapse - time.Millisecond)); len(expired) > 0 {
-					t.Errorf("given up before %v", c.lapse)
+					t.Errorf("dropped before %v", c.lapse)
 				}
 				k.ExpireLapsed(now.Add(c.lapse))
 			}
@@ -329,6 +329,6 @@
 		t.Fatalf("%d targets in use as an entry lapses, want 2", n)
 	}
 	if expired := c.ExpireLapsed(now.Add(1900 * time.Millisecond)); len(expired) != 1 {
-		t.Errorf("given up when others would be back: %v, want the one that went", expired)
+		t.Errorf("dropped at the end of the unstable period: %v, want the one that disappeared", expired)
 	}
 }
--- a/internal/catalog/incarnation_test.go
+++ b/internal/catalog/incarnation_test.go
@@ -57,16 +57,16 @@
 		want    string
 		ignored []string
 	}{
-		"a new life":                       {entries: []string{"1", "2"}, want: "a@2"},
-		"an older life that comes late":    {entries: []string{"2", "1"}, want: "a@2", ignored: []string{"born"}},
-		"two lives at once":                {entries: []string{"1", "3", "2", "3"}, want: "a@3", ignored: []string{"born"}},
-		"a life without a number":          {entries: []string{"0", "0"}, want: "a"},
-		"a number where there was none":    {entries: []string{"0", "4"}, want: "a@4"},
-		"what cannot be read":              {entries: []string{"1", "?"}, want: "", ignored: []string{"bytes"}},
-		"good again":                       {entries: []string{"1", "?", "1"}, want: "a@1", ignored: []string{"bytes"}},
-		"an older life behind what is bad": {entries: []string{"2", "?", "1"}, want: "", ignored: []string{"bytes", "born"}},
-		"a new life behind what is bad":    {entries: []string{"2", "?", "3"}, want: "a@3", ignored: []string{"bytes"}},
-		"bad from the start":               {entries: []string{"?", "!"}, want: "", ignored: []string{"bytes", "bytes"}},
+		"a new incarnation":                           {entries: []string{"1", "2"}, want: "a@2"},
+		"a late entry of an older incarnation":        {entries: []string{"2", "1"}, want: "a@2", ignored: []string{"born"}},
+		"two incarnations at once":                    {entries: []string{"1", "3", "2", "3"}, want: "a@3", ignored: []string{"born"}},
+		"an incarnation without a number":             {entries: []string{"0", "0"}, want: "a"},
+		"a number where there was none":               {entries: []string{"0", "4"}, want: "a@4"},
+		"an invalid entry":                            {entries: []string{"1", "?"}, want: "", ignored: []string{"bytes"}},
+		"a valid entry after an invalid one":          {entries: []string{"1", "?", "1"}, want: "a@1", ignored: []string{"bytes"}},
+		"an older incarnation after an invalid entry": {entries: []string{"2", "?", "1"}, want: "", ignored: []string{"bytes", "born"}},
+		"a new incarnation after an invalid entry":    {entries: []string{"2", "?", "3"}, want: "a@3", ignored: []string{"bytes"}},
+		"only invalid entries":                        {entries: []string{"?", "!"}, want: "", ignored: []string{"bytes", "bytes"}},
 	} {
 		for way, put := range map[string]func(k *catalog.Catalog, revision int64, e message.StoredObject){
 			"as changes": func(k *catalog.Catalog, revision int64, e message.StoredObject) {
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestBadEntryIsToldOnce(t *testing.T) {
+func TestInvalidEntryIsReportedOnce(t *testing.T) {
 	k := catalog.New(bornCodec{}, drainPeriod, entryTTL)
 	bad := entryOf("a", 1, "?")
 	for revision := range int64(5) {
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestBadEntryDoesNotLapse(t *testing.T) {
+func TestInvalidEntryDoesNotLapse(t *testing.T) {
 	k := catalog.New(bornCodec{}, drainPeriod, entryTTL)
 	now := time.Unix(1000, 0)
 	k.SetTargets(now, 1, []message.StoredObject{entryOf("a", 1, "1"), entryOf("b", 1, "1")})
@@ -120,7 +120,7 @@
 	k.MarkUnstable(now)
 	k.SetTargets(now, 3, nil)
 	if got := inUse(k); got != "b@1" {
-		t.Errorf("%q, want only what was good to lapse", got)
+		t.Errorf("%q, want only the valid entry to lapse", got)
 	}
 }
 
@@ -171,7 +171,7 @@
 			now := map[string]int64{}
 			for _, target := range known[i].Targets() {
 				if last := newest[i][target.ID]; target.Born < last {
-					t.Fatalf("router %d uses life %d of %s after life %d", i, target.Born, target.ID, last)
+					t.Fatalf("router %d uses incarnation %d of %s after incarnation %d", i, target.Born, target.ID, last)
 				}
 				now[target.ID] = target.Born
 			}
@@ -179,7 +179,7 @@
 				born, used := now[name]
 				bad := e.Gone || string(e.Value) == "?"
 				if bad && used {
-					t.Fatalf("router %d uses %s@%d, whose entry is gone or bad as of %d", i, name, born, e.Revision)
+					t.Fatalf("router %d uses %s@%d, whose entry is gone or invalid as of %d", i, name, born, e.Revision)
 				}
 				if bad {
 					continue
@@ -250,7 +250,7 @@
 // Guards against a fault in which a router that knew a later incarnation ignored a late write of an
 // older one, and also left it out of copies for other routers. Such a router then kept using an even
 // older incarnation: "router 1 uses b@1 though 2 is known".
-func TestLateWriteIsPassedOn(t *testing.T) {
+func TestLateWriteIsForwarded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	knows, behind := catalog.New(bornCodec{}, drainPeriod, entryTTL), catalog.New(bornCodec{}, drainPeriod, entryTTL)
 	knows.ApplyTargets(now, 1, []catalog.Change{{StoredObject: entryOf("b", 1, "3")}})
@@ -258,14 +258,14 @@
 	knows.ApplyTargets(now, 4, []catalog.Change{{StoredObject: entryOf("b", 4, "2")}})
 	behind.Merge(now, knows.Copy(now, message.NeedCopy{Targets: behind.TargetsRevision()}))
 	if got := inUse(knows) + " " + inUse(behind); got != "b@3 b@2" {
-		t.Errorf("%q, want each to keep the newest life that it knows", got)
+		t.Errorf("%q, want each to keep the newest incarnation that it knows", got)
 	}
 }
 
 // Guards against a fault in which a late write of an earlier process passed for a new incarnation
 // after the entry had been removed and an unusable one had followed, since the unusable one was
 // remembered without a start time.
-func TestOlderLivesAfterAnEntryWent(t *testing.T) {
+func TestOlderIncarnationsAfterRemoval(t *testing.T) {
 	k := catalog.New(bornCodec{}, drainPeriod, entryTTL)
 	k.SetTargets(time.Time{}, 1, []message.StoredObject{entryOf("a", 1, "3")})
 	k.SetTargets(time.Time{}, 2, nil)
--- a/internal/catalog/left_test.go
+++ b/internal/catalog/left_test.go
@@ -30,7 +30,7 @@
 // Guards against a fault in which a target that had left was used again: the store came back from a
 // copy that lists the target, and came back from a copy once more before the entry's TTL ran out,
 // but the entry was unconfirmed only for the time counted from the first return.
-func TestLeftTargetWhereTheStoreComesBackTwice(t *testing.T) {
+func TestDepartedTargetWhenStoreComesBackTwice(t *testing.T) {
 	now := time.Unix(1000, 0)
 	k := catalog.New(countedCodec{}, drainPeriod, entryTTL)
 	list := func(era, at int64, writes ...string) {
@@ -56,15 +56,15 @@
 	list(2, 1, "5")
 	now = now.Add(entryTTL - time.Millisecond)
 	if used() {
-		t.Error("used before its entry has outlived that of a target that does not write")
+		t.Error("used before the TTL of its entry has run out")
 	}
 	now = now.Add(time.Millisecond)
 	if !used() {
-		t.Error("not used though its entry is still there")
+		t.Error("not used although its entry is still there")
 	}
 	list(2, 2)
 	list(2, 3, "6")
 	if !used() {
-		t.Error("not used though it has written again")
+		t.Error("not used although it has written again")
 	}
 }
--- a/internal/roster/cold_test.go
+++ b/internal/roster/cold_test.go
@@ -14,12 +14,12 @@
 // coldRate is the request rate that a cold target can take in the simulations.
 var coldRate = coldstart.Rate{PerSecond: 9.8, MaxPerSecond: 19.7}
 
-// coldPart is the number of requests per second that routers with the same view of the fleet
+// coldRatePerView is the number of requests per second that routers with the same view of the fleet
 // may send to a cold target together. Three disjoint views stay within coldRate.
-const coldPart = 6.0
+const coldRatePerView = 6.0
 
-// coldTry is the time between two attempts of a router to send to the cold targets.
-const coldTry = 25 * time.Millisecond
+// sendInterval is the time between two attempts of a router to send to the cold targets.
+const sendInterval = 25 * time.Millisecond
 
 // senders simulates routers that send as many requests to cold targets as they are allowed to.
 type senders struct {
@@ -48,7 +48,7 @@
 }
 
 func (s *senders) try(r *router, life int, rights *coldstart.Senders, windows []coldstart.Window) {
-	if !r.runs || r.life != life {
+	if !r.running || r.life != life {
 		return
 	}
 	for i, target := range s.targets {
@@ -57,11 +57,11 @@
 			s.arrived[target] = append(s.arrived[target], s.now)
 		}
 	}
-	s.after(coldTry, func() { s.try(r, life, rights, windows) })
+	s.after(sendInterval, func() { s.try(r, life, rights, windows) })
 }
 
-// most returns the maximum number of requests that arrived at a target within a second.
-func (s *senders) most() int {
+// maxPerSecond returns the maximum number of requests that arrived at a target within a second.
+func (s *senders) maxPerSecond() int {
 	most := 0
 	for _, list := range s.arrived {
 		first := 0
@@ -86,8 +86,8 @@
 		f.run(5 * time.Second)
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
-				if n := s.most(); float64(n) > coldRate.MaxPerSecond {
-					t.Fatalf("%d requests reached a cold target in a second", n)
+				if n := s.maxPerSecond(); float64(n) > coldRate.MaxPerSecond {
+					t.Fatalf("%d requests reached a cold target within a second", n)
 				}
 			},
 			"time passes": func(t *rapid.T) {
@@ -133,8 +133,8 @@
 			clear(s.arrived)
 			f.run(length)
 			for target, list := range s.arrived {
-				if got := float64(len(list)) / length.Seconds(); got < 0.9*coldPart || got > coldPart {
-					t.Errorf("%s got %.1f requests a second of %.1f", target, got, coldPart)
+				if got := float64(len(list)) / length.Seconds(); got < 0.9*coldRatePerView || got > coldRatePerView {
+					t.Errorf("%s got %.1f requests per second, want up to %.1f", target, got, coldRatePerView)
 				}
 			}
 			if len(s.arrived) != 5 {
--- a/internal/roster/news_test.go
+++ b/internal/roster/news_test.go
@@ -11,42 +11,42 @@
 	"github.com/stepcroft/stepcroft/internal/quarantine"
 )
 
-// busyTime is the maximum delay with which a busy box processes a message.
-const busyTime = 200 * time.Millisecond
+// maxProcessingDelay is the maximum delay with which a busy box processes a message.
+const maxProcessingDelay = 200 * time.Millisecond
 
-// suspecting simulates how the routers of a fleet exchange what they know of requests that crash
+// quarantineFleet simulates how the routers of a fleet exchange what they know of requests that crash
 // targets. As in the product, a router whose ping shows a different digest requests all records.
-type suspecting struct {
+type quarantineFleet struct {
 	*fleet
 	states    []*quarantine.State
 	exchanges []*quarantine.Exchange
-	at        map[*router]int
-	// messages and bytes count what is sent, taken counts the records received.
-	messages, bytes, taken int
+	index     map[*router]int
+	// messages and bytes count what is sent, received counts the records received.
+	messages, bytes, received int
 }
 
-func newSuspecting(f *fleet) *suspecting {
-	s := &suspecting{fleet: f, at: map[*router]int{}}
+func newQuarantineFleet(f *fleet) *quarantineFleet {
+	s := &quarantineFleet{fleet: f, index: map[*router]int{}}
 	for i, r := range f.routers {
 		state := quarantine.New()
 		s.states = append(s.states, state)
 		s.exchanges = append(s.exchanges, quarantine.NewExchange(state, r))
-		s.at[r] = i
+		s.index[r] = i
 		s.ping(r)
-		s.beat(r)
+		s.tick(r)
 	}
 	return s
 }
 
-// found forwards the records that are new at a router.
-func (s *suspecting) found(r *router) {
-	_, parcels := s.exchanges[s.at[r]].Found(s.time())
-	s.pass(r, parcels)
+// sendFound forwards the records that are new at a router.
+func (s *quarantineFleet) sendFound(r *router) {
+	_, parcels := s.exchanges[s.index[r]].Found(s.time())
+	s.sendParcels(r, parcels)
 }
 
-func (s *suspecting) pass(r *router, parcels []quarantine.Parcel) {
+func (s *quarantineFleet) sendParcels(r *router, parcels []quarantine.Parcel) {
 	for _, p := range parcels {
-		s.tell(r, s.byPeer[p.To], p.Records)
+		s.sendRecords(r, s.byPeer[p.To], p.Records)
 	}
 }
 
@@ -58,8 +58,8 @@
 	messageBytes, recordBytes, crashBytes = 60, 50, 25
 )
 
-// tell sends records to a router, unless they are lost.
-func (s *suspecting) tell(from, to *router, list []quarantine.Record) {
+// sendRecords sends records to a router, unless they are lost.
+func (s *quarantineFleet) sendRecords(from, to *router, list []quarantine.Record) {
 	for part := range slices.Chunk(list, maxRecordsPerMessage) {
 		s.messages++
 		s.bytes += messageBytes
@@ -69,32 +69,32 @@
 		if s.random.Float64() < s.loss || s.cut(from, to) {
 			continue
 		}
-		delay := trip + time.Duration(s.random.Int64N(int64(busyTime)))
+		delay := minLatency + time.Duration(s.random.Int64N(int64(maxProcessingDelay)))
 		s.after(delay, func() {
-			s.taken += len(part)
-			_, parcels := s.exchanges[s.at[to]].Heard(s.time(), part)
-			s.pass(to, parcels)
+			s.received += len(part)
+			_, parcels := s.exchanges[s.index[to]].Heard(s.time(), part)
+			s.sendParcels(to, parcels)
 		})
 	}
 }
 
 // ping compares the digest of a router with that of a random one, four times a second.
-func (s *suspecting) ping(r *router) {
+func (s *quarantineFleet) ping(r *router) {
 	other := s.routers[s.random.IntN(len(s.routers))]
-	if s.exchanges[s.at[r]].Differs(s.time(), s.states[s.at[other]].Digest()) {
-		s.tell(other, r, s.exchanges[s.at[other]].All(s.time()))
+	if s.exchanges[s.index[r]].Differs(s.time(), s.states[s.index[other]].Digest()) {
+		s.sendRecords(other, r, s.exchanges[s.index[other]].All(s.time()))
 	}
 	s.after(250*time.Millisecond, func() { s.ping(r) })
 }
 
-// beat sends what is due at a router in regular intervals, as the product does.
-func (s *suspecting) beat(r *router) {
-	s.found(r)
-	s.after(50*time.Millisecond, func() { s.beat(r) })
+// tick sends what is due at a router in regular intervals, as the product does.
+func (s *quarantineFleet) tick(r *router) {
+	s.sendFound(r)
+	s.after(50*time.Millisecond, func() { s.tick(r) })
 }
 
-// knowing returns the number of routers that know of at least so many crashes by a request.
-func (s *suspecting) knowing(k quarantine.Key, ends int) int {
+// countKnowing returns the number of routers that know of at least so many crashes by a request.
+func (s *quarantineFleet) countKnowing(k quarantine.Key, ends int) int {
 	n := 0
 	for _, state := range s.states {
 		if state.View().Crashes(k) >= ends {
@@ -104,29 +104,29 @@
 	return n
 }
 
-var _ = Describe("News of requests that end targets", func() {
+var _ = Describe("Updates about requests that crash targets", func() {
 	// All routers must know of the third crash within three seconds.
 	DescribeTable(
-		"reach all in time, whoever sees which end", func(n int, loss float64) {
+		"reach all routers in time, whichever router sees which crash", func(n int, loss float64) {
 			f := newFleet(n, 8)
 			f.launch(1, f.routers...)
 			f.run(5 * time.Second)
 			f.loss = loss
-			s := newSuspecting(f)
+			s := newQuarantineFleet(f)
 			k := quarantine.KeyOf("o", "POST", "/x", nil)
 			for end := range 3 {
 				r := f.routers[f.random.IntN(n)]
-				state := s.states[s.at[r]]
+				state := s.states[s.index[r]]
 				state.Broke(f.time(), k, "o", fmt.Sprint("t", end), false)
 				state.Ended(f.time(), fmt.Sprint("t", end))
-				s.found(r)
+				s.sendFound(r)
 				f.run(50 * time.Millisecond)
 			}
 			began := f.now
-			for f.now-began < 10*time.Second && s.knowing(k, 3) < n {
+			for f.now-began < 10*time.Second && s.countKnowing(k, 3) < n {
 				f.run(50 * time.Millisecond)
 			}
-			GinkgoWriter.Printf("%d routers, %.0f%% lost: all know after %v\n", n, 100*loss, f.now-began)
+			GinkgoWriter.Printf("%d routers, %.0f%% of messages lost: all informed after %v\n", n, 100*loss, f.now-began)
 			Expect(f.now - began).To(BeNumerically("<", 3*time.Second))
 		},
 		Entry("8", 8, 0.0), Entry("85", 85, 0.0), Entry("295", 295, 0.0), Entry("295, a fifth lost", 295, 0.2),
--- a/internal/roster/random_test.go
+++ b/internal/roster/random_test.go
@@ -48,7 +48,7 @@
 		f.launch(3000, f.routers[0])
 		f.run(quiet)
 		if n := f.disagreements(); n > 0 {
-			t.Fatalf("%d wrong beliefs", n)
+			t.Fatalf("%d disagreements about which routers run", n)
 		}
 	})
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -22,17 +22,17 @@
 }
 
 const (
-	// beat is the time between ticks, trip the minimum latency of a message.
-	beat = 50 * time.Millisecond
-	trip = 2 * time.Millisecond
+	// tickInterval is the time between ticks, trip the minimum latency of a message.
+	tickInterval = 50 * time.Millisecond
+	minLatency   = 2 * time.Millisecond
 )
 
 // event is a function to call at a simulated time. Events of the same time run in the order in
 // which they were added.
 type event struct {
-	at time.Duration
-	n  int
-	do func()
+	at    time.Duration
+	order int
+	do    func()
 }
 
 type events []event
@@ -43,7 +43,7 @@
 	if e[i].at != e[j].at {
 		return e[i].at < e[j].at
 	}
-	return e[i].n < e[j].n
+	return e[i].order < e[j].order
 }
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
@@ -60,7 +60,7 @@
 type router struct {
 	*roster.Roster
 	name, zone string
-	runs       bool
+	running    bool
 	// life is the number of starts. The ticks of an earlier life stop when it changes.
 	life int
 	// sent counts the messages sent, records the records in them.
@@ -69,13 +69,13 @@
 
 // fleet simulates routers and their network in virtual time.
 type fleet struct {
-	start   time.Time
-	now     time.Duration
-	queue   events
-	n       int
-	random  *rand.Rand
-	routers []*router
-	byPeer  map[string]*router
+	start      time.Time
+	now        time.Duration
+	queue      events
+	eventCount int
+	random     *rand.Rand
+	routers    []*router
+	byPeer     map[string]*router
 	// loss is the fraction of messages that are lost at random. cut reports whether the
 	// network drops all messages between two routers.
 	loss float64
@@ -99,8 +99,8 @@
 func (f *fleet) time() time.Time { return f.start.Add(f.now) }
 
 func (f *fleet) after(d time.Duration, do func()) {
-	f.n++
-	heap.Push(&f.queue, event{f.now + d, f.n, do})
+	f.eventCount++
+	heap.Push(&f.queue, event{f.now + d, f.eventCount, do})
 }
 
 // run advances the virtual time by d.
@@ -118,21 +118,21 @@
 // seed.
 func (f *fleet) launch(incarnation uint64, routers ...*router) {
 	for _, r := range routers {
-		r.runs = true
+		r.running = true
 		r.life++
 		self := message.RouterRecord{ID: message.RouterID(r.name), Zone: r.zone, Peer: r.name, Incarnation: incarnation}
 		r.Roster = roster.New(f.time(), self, []string{f.routers[0].name}, rand.New(rand.NewPCG(f.random.Uint64(), 2)))
 		life := r.life
-		f.after(time.Duration(f.random.Int64N(int64(beat))), func() { f.tick(r, life) })
+		f.after(time.Duration(f.random.Int64N(int64(tickInterval))), func() { f.tick(r, life) })
 	}
 }
 
 func (f *fleet) tick(r *router, life int) {
-	if !r.runs || r.life != life {
+	if !r.running || r.life != life {
 		return
 	}
 	f.send(r, r.Tick(f.time()))
-	f.after(beat, func() { f.tick(r, life) })
+	f.after(tickInterval, func() { f.tick(r, life) })
 }
 
 func (f *fleet) send(from *router, list []roster.Outgoing) {
@@ -143,9 +143,9 @@
 		if f.random.Float64() < f.loss || f.cut(from, to) {
 			continue
 		}
-		delay := trip + time.Duration(f.random.Int64N(int64(trip)))
+		delay := minLatency + time.Duration(f.random.Int64N(int64(minLatency)))
 		f.after(delay, func() {
-			if to.runs {
+			if to.running {
 				f.send(to, to.Receive(f.time(), s.Ping))
 			}
 		})
@@ -155,7 +155,7 @@
 // stop kills routers; they send no message.
 func (f *fleet) stop(routers ...*router) {
 	for _, r := range routers {
-		r.runs = false
+		r.running = false
 	}
 }
 
@@ -164,7 +164,7 @@
 func (f *fleet) disagreements() int {
 	n := 0
 	for _, r := range f.routers {
-		if !r.runs {
+		if !r.running {
 			continue
 		}
 		known := map[string]bool{}
@@ -172,7 +172,7 @@
 			known[string(record.ID)] = true
 		}
 		for _, other := range f.routers {
-			if known[other.name] != other.runs {
+			if known[other.name] != other.running {
 				n++
 			}
 		}
@@ -180,12 +180,12 @@
 	return n
 }
 
-// settles runs the simulation until there are no disagreements, at most for limit, and returns how
+// timeToConverge runs the simulation until there are no disagreements, at most for limit, and returns how
 // long that took.
-func (f *fleet) settles(limit time.Duration) time.Duration {
+func (f *fleet) timeToConverge(limit time.Duration) time.Duration {
 	began := f.now
 	for f.now-began < limit && f.disagreements() > 0 {
-		f.run(beat)
+		f.run(tickInterval)
 	}
 	return f.now - began
 }
@@ -195,23 +195,23 @@
 		"learn of all routers that start at once", func(n int) {
 			f := newFleet(n, 1)
 			f.launch(1, f.routers...)
-			Expect(f.settles(5 * time.Second)).To(BeNumerically("<", 2500*time.Millisecond))
+			Expect(f.timeToConverge(5 * time.Second)).To(BeNumerically("<", 2500*time.Millisecond))
 		},
 		Entry("two", 2), Entry("eight", 8), Entry("sixty", 60), Entry("three hundred", 300),
 	)
 
 	DescribeTable(
-		"take one that dies for gone", func(n int) {
+		"detect the death of one router", func(n int) {
 			f := newFleet(n, 2)
 			f.launch(1, f.routers...)
 			f.run(5 * time.Second)
 			f.stop(f.routers[n/2])
-			Expect(f.settles(10 * time.Second)).To(BeNumerically("<", 4*time.Second))
+			Expect(f.timeToConverge(10 * time.Second)).To(BeNumerically("<", 4*time.Second))
 		},
 		Entry("of three", 3), Entry("of eight", 8), Entry("of sixty", 60), Entry("of three hundred", 300),
 	)
 
-	It("take a whole availability zone that dies for gone, and have it back", func() {
+	It("detect the loss of a whole availability zone, and its return", func() {
 		f := newFleet(90, 3)
 		f.launch(1, f.routers...)
 		f.run(5 * time.Second)
@@ -222,14 +222,14 @@
 			}
 		}
 		f.stop(zone...)
-		Expect(f.settles(10 * time.Second)).To(BeNumerically("<", 6*time.Second))
+		Expect(f.timeToConverge(10 * time.Second)).To(BeNumerically("<", 6*time.Second))
 		f.launch(2, zone...)
-		Expect(f.settles(10 * time.Second)).To(BeNumerically("<", 3*time.Second))
+		Expect(f.timeToConverge(10 * time.Second)).To(BeNumerically("<", 3*time.Second))
 	})
 
 	// Without the call of Resume, a resumed router considers those gone that it suspected
 	// before: by its clock they have had enough time to refute the suspicion.
-	It("take nobody for gone for their own suspension", func() {
+	It("consider no router gone because of their own suspension", func() {
 		for length := 200 * time.Millisecond; length < 20*time.Second; length = length * 3 / 2 {
 			f := newFleet(12, 5)
 			f.launch(1, f.routers...)
@@ -238,30 +238,30 @@
 			f.cut = func(from, to *router) bool { return from == late || to == late }
 			f.run(1600 * time.Millisecond)
 			f.cut = func(*router, *router) bool { return false }
-			var sleepers []*router
+			var suspended []*router
 			for _, r := range f.routers[3:7] {
-				sleepers = append(sleepers, r)
+				suspended = append(suspended, r)
 				r.Changes()
-				r.runs = false
+				r.running = false
 			}
 			f.run(length)
-			for _, r := range sleepers {
-				r.runs = true
+			for _, r := range suspended {
+				r.running = true
 				r.Resume(f.time())
 				f.tick(r, r.life)
 			}
 			f.run(2 * time.Second)
-			for _, r := range sleepers {
+			for _, r := range suspended {
 				for _, change := range r.Changes() {
-					awake := !slices.ContainsFunc(sleepers, func(s *router) bool { return s.name == string(change.ID) })
-					Expect(awake && change.Belief == message.Gone).To(BeFalse(), "%s believes %s %s after %v", r.name, change.ID, change.Belief, length)
+					running := !slices.ContainsFunc(suspended, func(s *router) bool { return s.name == string(change.ID) })
+					Expect(running && change.Belief == message.Gone).To(BeFalse(), "%s considers %s %s after %v", r.name, change.ID, change.Belief, length)
 				}
 			}
-			Expect(f.settles(10*time.Second)).To(BeNumerically("<", 4*time.Second), "after %v", length)
+			Expect(f.timeToConverge(10*time.Second)).To(BeNumerically("<", 4*time.Second), "after %v", length)
 		}
 	})
 
-	It("take nobody for gone where some messages are lost", func() {
+	It("consider no router gone when some messages are lost", func() {
 		f := newFleet(60, 4)
 		f.launch(1, f.routers...)
 		f.run(5 * time.Second)
@@ -272,7 +272,7 @@
 		}
 	})
 
-	It("come together again after a cut between availability zones", func() {
+	It("converge after a network partition between availability zones", func() {
 		f := newFleet(60, 5)
 		f.launch(1, f.routers...)
 		f.run(5 * time.Second)
@@ -280,10 +280,10 @@
 		f.run(10 * time.Second)
 		Expect(f.routers[1].Live(f.time())).To(HaveLen(40))
 		f.cut = func(*router, *router) bool { return false }
-		Expect(f.settles(10 * time.Second)).To(BeNumerically("<", 6*time.Second))
+		Expect(f.timeToConverge(10 * time.Second)).To(BeNumerically("<", 6*time.Second))
 	})
 
-	It("keep one whose messages are lost in one direction only to another zone", func() {
+	It("keep a router whose messages to one other zone are lost", func() {
 		f := newFleet(60, 6)
 		f.launch(1, f.routers...)
 		f.run(5 * time.Second)
@@ -294,7 +294,7 @@
 		}
 	})
 
-	It("know nobody but themselves where they are cut off, and all again at once", func() {
+	It("return only the local router while it is isolated, and converge quickly afterwards", func() {
 		f := newFleet(60, 7)
 		f.launch(1, f.routers...)
 		f.run(5 * time.Second)
@@ -303,10 +303,10 @@
 		Expect(f.routers[9].Live(f.time())).To(HaveLen(1))
 		f.run(8 * time.Second)
 		f.cut = func(*router, *router) bool { return false }
-		Expect(f.settles(10 * time.Second)).To(BeNumerically("<", 4*time.Second))
+		Expect(f.timeToConverge(10 * time.Second)).To(BeNumerically("<", 4*time.Second))
 	})
 
-	It("find the seed again where all others that one knows are gone", func() {
+	It("find the seed again when all other known routers are gone", func() {
 		f := newFleet(4, 11)
 		f.launch(1, f.routers...)
 		f.run(2 * time.Second)
@@ -316,10 +316,10 @@
 		f.run(500 * time.Millisecond)
 		Expect(f.routers[0].Live(f.time())).To(ContainElement(HaveField("ID", message.RouterID("r3"))))
 		Expect(f.routers[3].Live(f.time())).To(ContainElement(HaveField("ID", message.RouterID("r0"))))
-		Expect(f.settles(5 * time.Second)).To(BeNumerically("<", 4*time.Second))
+		Expect(f.timeToConverge(5 * time.Second)).To(BeNumerically("<", 4*time.Second))
 	})
 
-	It("take a restart with a clock that was set back for the newer life", func() {
+	It("accept a restart with a clock that was set back as the newer incarnation", func() {
 		f := newFleet(8, 8)
 		f.launch(100, f.routers...)
 		f.run(5 * time.Second)
@@ -334,11 +334,11 @@
 		}
 	})
 
-	It("pass on what one says of itself: to nearly all at once, to all within two seconds", func() {
+	It("propagate an update of one router: to nearly all at once, to all within two seconds", func() {
 		f := newFleet(300, 9)
 		f.launch(1, f.routers...)
 		f.run(5 * time.Second)
-		told := func() int {
+		informed := func() int {
 			n := 0
 			for _, r := range f.routers {
 				n += len(r.Serving(f.time()))
@@ -347,12 +347,12 @@
 		}
 		f.routers[17].UpdateSelf(message.RouterRecord{Serving: true})
 		f.run(300 * time.Millisecond)
-		Expect(told()).To(BeNumerically(">", 290))
+		Expect(informed()).To(BeNumerically(">", 290))
 		f.run(2 * time.Second)
-		Expect(told()).To(Equal(299))
+		Expect(informed()).To(Equal(299))
 	})
 
-	It("start at once without a storm of messages", func() {
+	It("start at once with a bounded number of messages", func() {
 		f := newFleet(300, 12)
 		f.launch(1, f.routers...)
 		f.run(4 * time.Second)
@@ -387,7 +387,7 @@
 })
 
 var _ = Describe("A roster", func() {
-	It("says which beliefs changed, once", func() {
+	It("returns each change of a belief once", func() {
 		now := time.Unix(1, 0)
 		r := roster.New(now, message.RouterRecord{ID: "a", Peer: "a:1", Incarnation: 1}, nil, rand.New(rand.NewPCG(1, 1)))
 		b := message.RouterRecord{ID: "b", Peer: "b:1", Incarnation: 1, Version: 1}
@@ -409,7 +409,7 @@
 		Expect(beliefs()).To(Equal([]message.Belief{message.Alive, message.Gone}))
 	})
 
-	It("goes to the seeds until it knows somebody, and to who is listed", func() {
+	It("pings the seeds until it knows another router, and the listed routers", func() {
 		now := time.Unix(1, 0)
 		r := roster.New(now, message.RouterRecord{ID: "a", Peer: "a:1", Incarnation: 1}, []string{"a:1", "b:1"}, rand.New(rand.NewPCG(1, 1)))
 		for _, s := range r.Tick(now) {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -12,7 +12,7 @@
 )
 
 // longestPrefix finds the longest matching prefix by linear search.
-func naive(routes []routing.Route, host, path string) string {
+func longestPrefix(routes []routing.Route, host, path string) string {
 	best := ""
 	for _, r := range routes {
 		if r.Host == host && strings.HasPrefix(path, r.Prefix) && len(r.Prefix) > len(best) {
@@ -45,7 +45,7 @@
 		if r, ok := table.Lookup(h, p); ok {
 			got = r.Prefix
 		}
-		if want := naive(routes, h, p); got != want {
+		if want := longestPrefix(routes, h, p); got != want {
 			t.Fatalf("%s at %s: %q, want %q", p, h, got, want)
 		}
 	})
