--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -1,5 +1,5 @@
-// Package httpserver serves HTTP on nbhttp. Each request runs in a goroutine
-// of a group, so that handlers may wait.
+// Package httpserver serves HTTP with nbhttp. Each request runs in a goroutine of its own, so
+// handlers may block.
 package httpserver
 
 import (
@@ -20,53 +20,57 @@
 )
 
 const (
-	// maxHeaderAndBody is the size, in bytes, over which a connection is
-	// closed without an answer; handlers refuse smaller bodies by themselves.
+	// maxHeaderAndBody is the maximum size of a request, in bytes. The connection of a larger
+	// one is closed without an answer. Handlers have lower limits of their own, above which
+	// they do answer.
 	maxHeaderAndBody = 8 << 20
-	// maxUnsent is how much, in bytes, may wait for a caller that reads
-	// slowly before its connection is closed.
+	// maxUnsent bounds the unsent bytes buffered for a caller that reads slowly; above it, the
+	// connection is closed.
 	maxUnsent = 1 << 20
-	// defaultIdle is how long a connection may stay open without a request.
+	// defaultIdle is the default of Options.Idle.
 	defaultIdle = 60 * time.Second
-	// spareShare is which part more connections than the bound are kept open at a time, so
-	// that their callers can be told to come back.
+	// spareShare is the ratio of the maximum number of connections to the number that may be
+	// open beyond it, whose requests are answered with a Retry-After.
 	spareShare = 4
-	// comeBack is what they are told, in seconds.
+	// comeBack is the Retry-After, in seconds, of the default Options.Full.
 	comeBack = "1"
-	// startTime is what the pollers get to begin in: one that is stopped before it has begun
-	// never ends. stopTime is for how long Stop waits for them all the same.
+	// startTime is how long New waits for the pollers to start: a poller that is stopped
+	// before it has started never ends. Since one may still start late, stopTime bounds how
+	// long Stop waits for them.
 	startTime = time.Millisecond
 	stopTime  = time.Second
 	// readBuffer is the size of a poller's read buffer, in bytes.
 	readBuffer = 16 << 10
 )
 
+// quiet turns off nbio's logging.
 var quiet = sync.OnceFunc(func() { logging.SetLevel(logging.LevelNone) })
 
-// Server is a running HTTP server. Use New to make one.
+// Server is a running HTTP server. Use New to create one.
 type Server struct {
 	engine  *nbhttp.Engine
 	group   *group.Group
 	address string
 	opened  atomic.Int64
-	// open is the number of connections.
+	// open is the number of open connections.
 	open atomic.Int64
 }
 
-// Options are a server's bounds.
+// Options holds a server's limits.
 type Options struct {
-	// MaxConnections is the most connections served at a time; 0 means any number. Full
-	// refuses requests on others, with a time to come back; nil means a plain 503.
+	// MaxConnections is the maximum number of connections served at a time; 0 means no limit.
+	// Full answers requests on connections beyond it and should set Retry-After; nil means a
+	// plain 503 with a Retry-After.
 	MaxConnections int
 	Full           http.Handler
 	// Pollers is the number of goroutines that read from connections.
 	Pollers int
-	// Idle is how long a connection may stay open without a request, and how
-	// long a request may take to arrive; 0 means a minute.
+	// Idle bounds how long a connection may stay open without a request, and how long a
+	// request may take to arrive; 0 means a minute.
 	Idle time.Duration
 }
 
-// New listens on address and serves handler until Stop.
+// New starts a server that listens on address and calls handler until Stop.
 func New(address string, handler http.Handler, o Options) (*Server, error) {
 	quiet()
 	s := &Server{group: group.New(context.Background())}
@@ -98,8 +102,8 @@
 	return s, nil
 }
 
-// unhurried lifts the deadline for idle connections while a request is being
-// answered; nbhttp sets it again afterwards.
+// unhurried clears the idle timeout of a connection, its read deadline, while a request is
+// served; nbhttp sets it again afterwards.
 type unhurried struct{ next http.Handler }
 
 func (u unhurried) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -109,7 +113,7 @@
 	u.next.ServeHTTP(w, r)
 }
 
-// full returns what refuses requests on connections beyond the bound.
+// full returns the handler of requests on connections beyond MaxConnections.
 func (o Options) full() http.Handler {
 	if o.Full != nil {
 		return o.Full
@@ -120,9 +124,9 @@
 	})
 }
 
-// bounded lets full answer requests, and ends their connections, while more connections are
-// open than are served, if most is not 0. A connection that is closed without a word makes its
-// caller connect again at once.
+// bounded passes requests to full and closes their connections while more than most connections
+// are open; most 0 means no limit. It answers because a caller whose connection is closed
+// without an answer reconnects at once.
 type bounded struct {
 	next, full http.Handler
 	open       *atomic.Int64
@@ -138,9 +142,9 @@
 	b.full.ServeHTTP(w, r)
 }
 
-// order makes what nbio's accepting goroutine wrote of a connection visible
-// to the goroutine that reads from it. The kernel orders the two, through
-// epoll, but the memory model and the race detector do not know that.
+// order counts open connections. It also makes the accepting goroutine's writes to a connection
+// happen before the reads of the poller goroutine, through the atomic counter opened: the kernel
+// orders the two through epoll, but Go's memory model and the race detector do not know that.
 func (s *Server) order() {
 	s.engine.OnOpen(func(net.Conn) {
 		s.opened.Add(1)
@@ -153,7 +157,7 @@
 	})
 }
 
-// Address returns the address that the server listens on.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.address }
 
 // Stop closes all connections and waits for the handlers to return.
@@ -166,12 +170,12 @@
 	select {
 	case <-stopped:
 	case <-time.After(stopTime):
-		// A poller goes on that had not begun. Nothing reaches it any more.
+		// A poller that started too late keeps running, but gets no more events.
 	}
 	s.group.Stop()
 }
 
-// Gone reports whether the connection that an answer goes to is closed.
+// Gone reports whether the caller's connection, to which w writes, is closed.
 func Gone(w http.ResponseWriter) bool {
 	res, ok := w.(*nbhttp.Response)
 	if !ok || res.Parser == nil {
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -20,7 +20,7 @@
 }
 
 var _ = Describe("Gone", func() {
-	It("tells a handler that its caller has closed the connection", func() {
+	It("reports to a handler that its caller has closed the connection", func() {
 		gone := make(chan bool, 1)
 		started := make(chan struct{})
 		handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -48,7 +48,7 @@
 })
 
 var _ = Describe("A request", func() {
-	It("may take longer than a connection may be idle", func() {
+	It("may take longer than the idle timeout", func() {
 		handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(500 * time.Millisecond)
 			_, _ = w.Write([]byte("done"))
@@ -67,10 +67,10 @@
 	})
 })
 
-var _ = Describe("More connections than the bound", func() {
+var _ = Describe("Connections beyond the maximum", func() {
 	const most = 8
 
-	// get asks for an answer on a connection, and returns it.
+	// get sends a request on a connection and returns the answer.
 	get := func(c net.Conn) *http.Response {
 		Expect(c.SetDeadline(time.Now().Add(5 * time.Second))).To(Succeed())
 		_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -81,7 +81,7 @@
 		return res
 	}
 
-	It("are told when to come back, and served again once others have gone", func() {
+	It("are refused with a Retry-After, and served once others are closed", func() {
 		server, err := httpserver.New("127.0.0.1:0", http.NotFoundHandler(), httpserver.Options{MaxConnections: most, Pollers: 1})
 		Expect(err).NotTo(HaveOccurred())
 		defer server.Stop()
--- a/internal/httpserver/stop_test.go
+++ b/internal/httpserver/stop_test.go
@@ -7,7 +7,8 @@
 	"github.com/stepcroft/stepcroft/internal/httpserver"
 )
 
-// A server that was stopped right after its start never stopped.
+// Stop must return even right after New: a poller that is stopped before it has started never
+// ends.
 func TestStopRightAfterStart(t *testing.T) {
 	for range 100 {
 		s, err := httpserver.New("127.0.0.1:0", http.NotFoundHandler(), httpserver.Options{})
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -14,9 +14,9 @@
 	"github.com/stepcroft/stepcroft/internal/sockopt"
 )
 
-// conns bounds the connections of callers, since each takes memory. At the
-// bound, the connection that has been unused for the longest is closed for a
-// new one; where all are in use, new ones wait in the kernel.
+// conns limits the number of callers' connections, since each takes memory. At the limit, the
+// connection that has been idle for the longest is closed to make room for a new one. If none
+// is idle, new connections wait in the kernel's accept queue.
 type conns struct {
 	max int
 
@@ -24,15 +24,15 @@
 	open   int
 	unused list.List
 	closed bool
-	// fresh are the connections that nobody has looked at yet.
+	// fresh holds the accepted connections from which nothing has been read yet.
 	fresh backlog.Queue
-	// short reports whether the router is short of processor time.
+	// short reports whether the router is short of CPU time.
 	short func() bool
-	// accepted counts connections since the last line about those turned away, and
-	// longest is the longest that one waited meanwhile to be looked at.
+	// accepted is the number of connections accepted since rejections were last logged, and
+	// longest the longest time that one of them waited for its first read.
 	accepted int
 	longest  time.Duration
-	// changed tells that a connection has been closed or has fallen unused.
+	// changed is signalled when a connection is closed or becomes idle.
 	changed sync.Cond
 }
 
@@ -42,8 +42,8 @@
 	return c
 }
 
-// reserve waits until there is room for a connection; it returns false once
-// the listener is closed.
+// reserve waits until there is room for another connection, and counts it as open. It returns
+// false once the listener is closed.
 func (s *conns) reserve() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,9 +56,9 @@
 	return !s.closed
 }
 
-// dropOldest closes the connection that has been unused for the longest. One
-// on which a request has arrived that was not read yet is in use; it returns
-// false if there is no other. mu must be held.
+// dropOldest closes the connection that has been idle for the longest, and returns false if
+// there is none. A connection with unread input, such as a request that has just arrived, does
+// not count as idle. mu must be held.
 func (s *conns) dropOldest() bool {
 	for s.unused.Len() > 0 {
 		c := s.unused.Front().Value.(*conn)
@@ -73,13 +73,13 @@
 	return false
 }
 
-// drop closes an unused connection. mu must be held.
+// drop closes an idle connection. mu must be held.
 func (s *conns) drop(c *conn) {
 	s.unused.Remove(c.place)
 	c.place = nil
 	c.dropped = true
 	s.open--
-	// The caller finds it closed; there is nobody else to tell.
+	// The connection is discarded, so an error from closing it does not matter.
 	_ = c.Conn.Close()
 }
 
@@ -90,7 +90,8 @@
 	s.changed.Broadcast()
 }
 
-// enter takes in a new connection; it returns nil if its caller is to be turned away.
+// enter adds a connection that was just accepted to those waiting for their first read. It
+// returns nil if the connection is to be rejected at once.
 func (s *conns) enter() *list.Element {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,15 +99,15 @@
 	return s.fresh.Enqueue(clock.Now(), s.short())
 }
 
-// forget takes out a connection that was refused before anybody looked at it.
+// forget removes a connection that was refused, or failed, before its first read.
 func (s *conns) forget(place *list.Element) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fresh.Remove(place)
 }
 
-// look notes that a connection is looked at, and reports whether its caller is to be turned
-// away.
+// look removes a connection that is read for the first time, and reports whether it is to be
+// rejected because it has waited too long for that.
 func (s *conns) look(place *list.Element) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,8 +116,8 @@
 	return s.fresh.Dequeue(now, place, s.short())
 }
 
-// arrivals returns how many connections came since the last call, and the longest that one
-// waited meanwhile to be looked at.
+// arrivals returns the number of connections accepted since the last call and the longest time
+// that one waited for its first read, and resets both.
 func (s *conns) arrivals() (accepted int, longest time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,39 +131,42 @@
 	net.Conn
 	server *Server
 	conns  *conns
-	// between is set while no request is being served, so that the next bytes
-	// begin one. The HTTP server then reads from one goroutine at a time.
+	// between is set between requests, when the next bytes start a new one. It needs no lock:
+	// between requests, only one goroutine of the HTTP server reads.
 	between bool
-	// fresh is the connection's place among those that nobody has looked at; looked is
-	// set once somebody has.
+	// fresh is the connection's element in conns.fresh, and looked is set by its first read,
+	// which removes it from there.
 	fresh  *list.Element
 	looked bool
-	// ahead was read before the HTTP server had the connection and is not passed on yet.
+	// ahead holds the bytes that the listener read in advance and the HTTP server has not
+	// read yet.
 	ahead []byte
 
-	// The rest is guarded by conns.mu. place is the connection's place among
-	// the unused ones, nil if it is in use; dropped is set if it was closed to
-	// make room.
+	// The fields below are guarded by conns.mu. place is the connection's element in
+	// conns.unused, nil while a request is being served; dropped is set if the connection was
+	// closed to make room for another one.
 	place           *list.Element
 	dropped, closed bool
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of the connection on which a request arrived.
 type connKey struct{}
 
+// withConn implements http.Server.ConnContext.
 func withConn(ctx context.Context, raw net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, raw)
 }
 
-// callerEnded reports whether the caller of a request has closed its connection. The
-// server notices that by a goroutine of its own, which on a busy box comes too late: requests
-// whose callers had left before they were read would be sent on.
+// callerEnded reports whether the caller of a request has closed its connection. The HTTP
+// server detects that too, with a background read, but too late on a busy box: requests whose
+// callers had disconnected before they were read would still be forwarded.
 func callerEnded(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	return ok && sockopt.Ended(c.Conn)
 }
 
-// connState notes for which connections a request has ended.
+// connState implements http.Server.ConnState: it marks connections idle when their request has
+// ended.
 func connState(raw net.Conn, state http.ConnState) {
 	if c, ok := raw.(*conn); ok && state == http.StateIdle {
 		c.between = true
@@ -170,7 +174,7 @@
 	}
 }
 
-// rest notes that the connection is unused.
+// rest marks the connection as idle.
 func (c *conn) rest() {
 	s := c.conns
 	s.mu.Lock()
@@ -182,8 +186,8 @@
 	s.changed.Signal()
 }
 
-// use notes that the connection is in use; it returns false if it has just
-// been closed to make room.
+// use marks the connection as in use. It returns false if the connection has just been closed
+// to make room for another one.
 func (c *conn) use() bool {
 	s := c.conns
 	s.mu.Lock()
@@ -203,7 +207,7 @@
 	return c.Conn.Close()
 }
 
-// leave takes the connection out of the count; it returns false if it was.
+// leave removes the connection from conns. It returns false if that was done before.
 func (c *conn) leave() bool {
 	s := c.conns
 	s.mu.Lock()
@@ -222,8 +226,8 @@
 	return true
 }
 
-// CloseWrite lets the HTTP server close a connection without losing its last
-// answer.
+// CloseWrite shuts down the sending side. The HTTP server calls it before Close, so that the
+// caller still receives the last answer.
 func (c *conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -231,8 +235,8 @@
 	return nil
 }
 
-// overdue reports, at the first look at a connection, whether it has waited for too long
-// for the processor.
+// overdue reports, on the first read of a connection, whether the connection has waited too
+// long for CPU time. On later reads it returns false.
 func (c *conn) overdue() bool {
 	if c.looked {
 		return false
@@ -241,7 +245,7 @@
 	return c.conns.look(c.fresh)
 }
 
-// receive reads what was read ahead, or from the connection.
+// receive returns the bytes that the listener read in advance, then reads from the connection.
 func (c *conn) receive(b []byte) (int, error) {
 	if len(c.ahead) == 0 {
 		return c.Conn.Read(b)
@@ -251,9 +255,9 @@
 	return n, nil
 }
 
-// Read implements net.Conn. Requests that are refused quickly are not passed
-// on. To the HTTP server the end of a connection is an end of input: it answers
-// other errors, as if the request had been bad.
+// Read implements net.Conn for the HTTP server, which does not see the requests refused here.
+// Connections that end here return io.EOF, since the HTTP server answers other errors with
+// 400 Bad Request.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.overdue() {
 		buffer := scratch.Get().(*[scratchSize]byte)
--- a/internal/ingress/conn_test.go
+++ b/internal/ingress/conn_test.go
@@ -13,7 +13,7 @@
 	"github.com/stepcroft/stepcroft/internal/group"
 )
 
-// caller is a caller's connection.
+// caller is the caller's end of a connection.
 type caller struct {
 	net.Conn
 	answers *bufio.Reader
@@ -46,12 +46,12 @@
 		}
 		defer res.Body.Close()
 		_, err = res.Body.Read(make([]byte, 64))
-		_ = err // The answer's status is all that matters here.
+		_ = err // Only the answer's status matters here.
 		return res.StatusCode, nil
 	}
 	whole := head("/plain/a", "k2", "r", 1, "") + "x"
 
-	It("make room when they have been unused for the longest", func() {
+	It("are closed for a new one when they have been idle for the longest", func() {
 		var list []caller
 		for range maxConnections {
 			c := dial()
@@ -70,7 +70,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("wait for room while all others are in use", func() {
+	It("wait to be accepted while all others are in use", func() {
 		var list []caller
 		for range maxConnections {
 			c := dial()
@@ -89,7 +89,7 @@
 		Expect(status(c)).To(Equal(http.StatusServiceUnavailable))
 	})
 
-	It("are not closed for others before their first request is answered", func() {
+	It("are not closed for a new one before their first request is answered", func() {
 		var list []caller
 		for range maxConnections {
 			list = append(list, dial())
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -20,7 +20,7 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// counting is a sender that counts what it is to send.
+// counting is a sender that fails all requests and counts them.
 type counting struct{ sends atomic.Int64 }
 
 func (*counting) ProcessExited(context.Context, string, string) bool { return false }
@@ -30,7 +30,7 @@
 	return nil, errors.Wrap(httptarget.ErrBroken, "test")
 }
 
-// counted counts requests that ended.
+// counted counts the requests that have ended.
 type counted struct {
 	ended
 	n atomic.Int64
@@ -38,8 +38,8 @@
 
 func (c *counted) Ended(forward.Request, forward.Result, time.Duration) { c.n.Add(1) }
 
-var _ = Describe("A caller that left before its request was read", func() {
-	It("has nothing sent for it", func() {
+var _ = Describe("A caller that disconnected before its request was read", func() {
+	It("has no request forwarded", func() {
 		const callers = 200
 		g := group.New(context.Background())
 		DeferCleanup(g.Stop)
--- a/internal/ingress/headers.go
+++ b/internal/ingress/headers.go
@@ -14,6 +14,7 @@
 	"github.com/stepcroft/stepcroft/internal/prefix"
 )
 
+// bearer returns the key in an Authorization header of the Bearer scheme, or "".
 func bearer(header string) string {
 	scheme, key, ok := strings.Cut(header, " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
@@ -22,7 +23,7 @@
 	return strings.TrimSpace(key)
 }
 
-// describe reads what the headers say of a request.
+// describe sets the fields of a request that come from its headers.
 func (s *Server) describe(out *forward.Request, r *http.Request) error {
 	if out.ID == "" {
 		return errors.Errorf("header %s is missing", s.dialect.RequestID)
@@ -31,7 +32,7 @@
 	if text := r.Header.Get(s.dialect.Deadline); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
 		if err != nil || ms < 0 || ms > math.MaxInt32 {
-			return errors.Errorf("header %s is no time in milliseconds: %q", s.dialect.Deadline, text)
+			return errors.Errorf("header %s is not a number of milliseconds: %q", s.dialect.Deadline, text)
 		}
 		wait = time.Duration(ms * float64(time.Millisecond))
 	}
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// passedOn returns the headers that a target gets as the caller sent them.
+// passedOn returns the caller's headers that are forwarded to the target unchanged.
 func (s *Server) passedOn(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
@@ -54,9 +55,9 @@
 	return out
 }
 
-// own reports whether a caller's header is not passed on as it is: it is meant
-// for the router, the router sets it anew, or only routers may set it. Passed
-// on, some would make an engine set memory aside or move it at a caller's word.
+// own reports whether a caller's header is not forwarded: it is addressed to the router, the
+// router sets it itself, or only routers may set it. With some of the last kind, a caller could
+// make an engine reserve or move cache memory.
 func (s *Server) own(name string) bool {
 	switch name {
 	case s.dialect.RequestID, s.dialect.Deadline, s.dialect.LastEvent, "Authorization", "Expect":
@@ -65,8 +66,9 @@
 	return slices.Contains(s.dialect.Reserved, name)
 }
 
-// sizes reads "TOKENS IN,MOST TOKENS OUT" and a guess of the tokens out; what cannot
-// be read is 0, and a guess that cannot be right is left out.
+// sizes parses "INPUT TOKENS,MAXIMUM OUTPUT TOKENS" and the expected number of output tokens.
+// It returns 0 for a number that cannot be parsed. The expected number replaces the maximum if
+// it is lower.
 func sizes(size, hint string) (in, out int) {
 	first, second, _ := strings.Cut(size, ",")
 	in, out = count(first), count(second)
@@ -76,10 +78,11 @@
 	return in, out
 }
 
-// tokensMost bounds the tokens that a caller's header may name: more than any engine's
-// memory holds, and little enough to be added up.
+// tokensMost bounds the number of tokens read from a header. It is more than any engine's
+// memory holds, and low enough that sums do not overflow.
 const tokensMost = 1 << 30
 
+// count parses a number of tokens; it returns 0 for anything else.
 func count(text string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || n < 0 {
@@ -88,8 +91,7 @@
 	return min(n, tokensMost)
 }
 
-// promptParts reads "ID:TOKENS,ID:TOKENS"; parts that cannot be read are
-// left out.
+// promptParts parses "ID:TOKENS,ID:TOKENS" and skips parts without an id or a colon.
 func promptParts(text string) []prefix.Part {
 	var parts []prefix.Part
 	for piece := range strings.SplitSeq(text, ",") {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,7 +1,10 @@
-// Package ingress takes requests from callers over HTTP/1.1, finds their
-// routes and organisations, and hands them to the forwarder. It serves on the
-// standard library's server: nbhttp's tells a handler only after it returns
-// that its caller has gone, and engines must stop work at once then.
+// Package ingress serves callers over HTTP/1.1: it accepts their connections, finds the route
+// and organisation of each request, and passes the request to the forwarder. When the router is
+// short of CPU time or throttles an organisation, it refuses requests before the HTTP server
+// sees them.
+//
+// It uses net/http and not nbhttp, because nbhttp reports a caller's disconnect to a handler
+// only after the handler has returned, and engines must stop work as soon as the caller is gone.
 package ingress
 
 import (
@@ -27,32 +30,34 @@
 )
 
 const (
-	// headerTimeout bounds the time in which a request's head must come. The
-	// server is set up before the configured limit is known; this is above
-	// those in use.
+	// headerTimeout bounds the time from the first byte of a request to the end of its
+	// headers. The server is created before the configured limit is known, so this is above
+	// the limits in use.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is for how long an unused connection is kept; callers use
-	// connections again up to the configured limit, which is below this.
+	// idleTimeout is how long an idle connection is kept open. It is above the configured
+	// limit, up to which callers reuse their connections.
 	idleTimeout = 60 * time.Second
-	// maxHeader bounds a request's head, in bytes, for the same reason.
+	// maxHeader bounds the size of a request's headers, in bytes. It is above the configured
+	// limits in use, as headerTimeout is.
 	maxHeader = 64 << 10
-	// bodyTimeout bounds the time in which a body must come.
+	// bodyTimeout bounds the time that reading a request's body takes.
 	bodyTimeout = 10 * time.Second
-	// defaultWait is for how long a caller waits that does not say.
+	// defaultWait is the time to the deadline of a request that has no deadline header.
 	defaultWait = 30 * time.Second
-	// defaultBody is the largest body taken where no limit is configured.
+	// defaultBody is the maximum size of a request's body, in bytes, if none is configured.
 	defaultBody = 4 << 20
-	// maxHeld bounds the bodies held at a time, in bytes: a quarter of the
-	// smallest box's memory.
+	// maxHeld bounds the total size of the request bodies in memory, in bytes. It is a
+	// quarter of the memory of the smallest box.
 	maxHeld = 32 << 20
-	// notReadyAfter is when to come back to a router without configuration.
+	// notReadyAfter is the Retry-After of a router that has no configuration yet, or has too
+	// many requests or bodies in memory.
 	notReadyAfter = 500 * time.Millisecond
-	// leavingAfter is when to come back to the fleet from a router that stops:
-	// the caller chooses another one at once.
+	// leavingAfter is the Retry-After of a router that shuts down. It is short because the
+	// caller can go to another router at once.
 	leavingAfter = 50 * time.Millisecond
 )
 
-// Reasons for refusing a request that are not the forwarder's.
+// Reasons for refusing a request before it reaches the forwarder.
 const (
 	ReasonBadRequest   forward.Reason = "bad-request"
 	ReasonNoRoute      forward.Reason = "no-route"
@@ -66,21 +71,22 @@
 )
 
 const (
-	// crowdedLeast and crowdedSpread are when to come back after a refusal for
-	// too many waiting requests: the organisation asks for several times its
-	// share, and the next seconds will be no better.
+	// crowdedLeast and crowdedSpread are the minimum and the random part of the Retry-After
+	// when an organisation has too many waiting requests or the router is short of CPU time.
+	// The organisation sends several times its share, so an earlier retry would fail too.
 	crowdedLeast  = time.Second
 	crowdedSpread = time.Second
 )
 
+// crowdedAfter returns a random Retry-After for a refusal under overload.
 func crowdedAfter() time.Duration { return crowdedLeast + rand.N(crowdedSpread) }
 
-// Observer is told of each request that ended.
+// Observer receives the result of each request, also of refused ones.
 type Observer interface {
 	Ended(r forward.Request, v forward.Result, took time.Duration)
 }
 
-// Server is the callers' side of a router. Use New to make one.
+// Server serves a router's callers. Use New to create one.
 type Server struct {
 	dialect   forward.Dialect
 	forwarder *forward.Forwarder
@@ -91,29 +97,29 @@
 	held      atomic.Int64
 	conns     *conns
 	turned    turnedAway
-	// maxOpen is the most requests served at a time.
+	// maxOpen is the maximum number of requests being served.
 	maxOpen int64
 	open    atomic.Int64
-	// begun counts all requests.
+	// begun counts the requests that reached the HTTP server.
 	begun atomic.Int64
-	// closing is set when answers are to close their connections.
+	// closing is set once the router shuts down; each answer then closes its connection.
 	closing atomic.Bool
-	// paused is set while what is in force waits to be confirmed.
+	// paused is set while the configuration in force has yet to be confirmed.
 	paused atomic.Bool
-	// end is by when requests must have ended that are still begun; nil while
-	// there is no end.
+	// end is the time by which every request must have ended; nil if there is none.
 	end atomic.Pointer[time.Time]
 }
 
-// Limits bound what a server takes on at a time.
+// Limits bounds a server's concurrent requests and connections.
 type Limits struct {
-	// Requests being served; others are refused unread.
+	// Requests is the maximum number of requests being served; others are refused before
+	// their body is read.
 	Requests int
-	// Connections of callers; see conns.
+	// Connections is the maximum number of callers' connections.
 	Connections int
 }
 
-// New returns a server that refuses everything until Configure is called.
+// New returns a server that refuses all requests until Configure is called.
 func New(d forward.Dialect, f *forward.Forwarder, o Observer, most Limits, l logr.Logger) *Server {
 	s := &Server{
 		dialect: d, forwarder: f, observer: o, log: l,
@@ -132,8 +138,8 @@
 	return s
 }
 
-// serverLog passes on what the standard library's server logs, such as panics
-// of handlers.
+// serverLog is an io.Writer that forwards the log lines of http.Server, such as panics of
+// handlers, to log.
 type serverLog struct{ log logr.Logger }
 
 func (s serverLog) Write(text []byte) (int, error) {
@@ -141,13 +147,14 @@
 	return len(text), nil
 }
 
-// Configure takes over a new configuration.
+// Configure replaces the routing table.
 func (s *Server) Configure(t *routing.Table) { s.table.Store(t) }
 
-// Pause makes the server refuse, as not run, all requests, or serve them again.
+// Pause makes the server refuse all requests as not ready if on is true, and serve them again
+// otherwise.
 func (s *Server) Pause(on bool) { s.paused.Store(on) }
 
-// Ready reports whether the server has a configuration that it serves by and is not leaving.
+// Ready reports whether the server has a configuration, is not paused, and is not shutting down.
 func (s *Server) Ready() bool {
 	return s.table.Load() != nil && !s.closing.Load() && !s.paused.Load()
 }
@@ -155,11 +162,11 @@
 // Open returns the number of requests being served.
 func (s *Server) Open() int64 { return s.open.Load() }
 
-// TurnedAway returns the number of callers that were turned away since the start because
-// their connections waited too long for the processor.
+// TurnedAway returns the number of connections rejected since the start because they waited
+// too long for CPU time.
 func (s *Server) TurnedAway() int64 { return s.turned.all.Load() }
 
-// Begun returns the number of requests that came since the start.
+// Begun returns the number of requests that reached the HTTP server since the start.
 func (s *Server) Begun() int64 { return s.begun.Load() }
 
 // Serve serves callers on l until Close.
@@ -171,21 +178,20 @@
 	return errors.Wrap(err, "serve callers")
 }
 
-// Leave begins a planned stop: answers from now on ask callers to close.
+// Leave begins a planned shutdown: from now on, each answer closes its connection.
 func (s *Server) Leave() { s.closing.Store(true) }
 
-// EndBy makes the server refuse, as not run, new requests whose callers may
-// wait beyond end.
+// EndBy makes the server refuse new requests that may still be running at end.
 func (s *Server) EndBy(end time.Time) { s.end.Store(&end) }
 
-// mayOutlast reports whether a request may take longer than the server has.
+// mayOutlast reports whether a request may still be running at the time set by EndBy.
 func (s *Server) mayOutlast(r forward.Request) bool {
 	end := s.end.Load()
 	return end != nil && r.Expires().After(*end)
 }
 
-// Shutdown closes the connections that are not used and waits for the others
-// until ctx ends; then it closes them.
+// Shutdown closes idle connections and waits until the others become idle. If ctx ends first,
+// it closes them too.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if err := s.server.Shutdown(ctx); err != nil {
 		return errors.Wrap(s.server.Close(), err.Error())
@@ -216,7 +222,8 @@
 	s.finish(w, request, s.forwarder.Forward(r.Context(), request, a), arrived)
 }
 
-// finish tells the caller what the result says and has not been told yet.
+// finish reports a result to the observer and, unless the answer has been forwarded, writes it
+// to the caller. An answer that broke off part-way is aborted, so that the caller notices.
 func (s *Server) finish(w http.ResponseWriter, r forward.Request, v forward.Result, arrived time.Time) {
 	s.observer.Ended(r, v, clock.Since(arrived))
 	if v.Truncated {
@@ -239,17 +246,19 @@
 	}
 }
 
-// retryAfter returns a time as the header says it: in seconds, in whole
+// retryAfter formats the value of a Retry-After header: in seconds, rounded up to whole
 // milliseconds.
 func retryAfter(d time.Duration) string {
 	return strconv.FormatFloat(math.Ceil(d.Seconds()*1000)/1000, 'f', -1, 64)
 }
 
+// refused returns the result of a refused request.
 func refused(status int, why forward.Reason, after time.Duration) forward.Result {
 	return forward.Result{Status: status, Reason: why, RetryAfter: after}
 }
 
-// accept checks a request. A result with a status means that it is refused.
+// accept parses and checks a request and reads its body. If it returns a result with a status,
+// the request is refused.
 func (s *Server) accept(w http.ResponseWriter, r *http.Request, arrived time.Time) (forward.Request, forward.Result) {
 	out := forward.Request{
 		ID: r.Header.Get(s.dialect.RequestID), Method: r.Method, URI: r.RequestURI, Host: r.Host, Arrived: arrived,
@@ -263,7 +272,7 @@
 	}
 	out.Input, out.Output = sizes(r.Header.Get(s.dialect.PromptSize), r.Header.Get(s.dialect.OutputHint))
 	if why := s.admit(out); why != "" {
-		// The body stays unread, and so the connection cannot go on.
+		// The body stays unread, so the connection cannot be reused.
 		w.Header().Set("Connection", "close")
 		return out, refused(http.StatusServiceUnavailable, why, crowdedAfter())
 	}
@@ -280,7 +289,7 @@
 	return out, s.body(w, r, t, &out)
 }
 
-// admit returns why a request is to be refused unread, or "".
+// admit returns the reason to refuse a request before its body is read, or "".
 func (s *Server) admit(r forward.Request) forward.Reason {
 	if !r.ToEngine {
 		return ""
@@ -288,13 +297,13 @@
 	return s.forwarder.Admit(r.Organisation, offer(r))
 }
 
-// offer returns what a request brings.
+// offer returns a request's size in tokens.
 func offer(r forward.Request) throttle.RequestSize {
 	return throttle.RequestSize{Input: r.Input, Output: r.Output}
 }
 
-// identify finds a request's route, organisation and service. A result with a
-// status means that it is refused.
+// identify sets a request's route, organisation and service. If it returns a result with a
+// status, the request is refused.
 func (s *Server) identify(t *routing.Table, out *forward.Request, authorization string) forward.Result {
 	path, _, _ := strings.Cut(out.URI, "?")
 	route, ok := t.Lookup(out.Host, path)
@@ -313,7 +322,8 @@
 	return forward.Result{}
 }
 
-// body reads the request's body within the configured limit.
+// body reads the request's body, up to the configured limit. If it returns a result with a
+// status, the request is refused.
 func (s *Server) body(w http.ResponseWriter, r *http.Request, t *routing.Table, out *forward.Request) forward.Result {
 	limit := int64(t.Limits().BodyBytes)
 	if limit <= 0 {
@@ -330,7 +340,7 @@
 	}
 	control := http.NewResponseController(w)
 	if err := control.SetReadDeadline(clock.Deadline(bodyTimeout)); err != nil {
-		s.log.V(1).Info("no deadline for reading", "id", out.ID, "cause", err.Error())
+		s.log.V(1).Info("read deadline not set", "id", out.ID, "cause", err.Error())
 	}
 	body, err := readBody(r, limit)
 	if err != nil {
@@ -340,13 +350,15 @@
 		return refused(http.StatusRequestEntityTooLarge, ReasonTooLarge, 0)
 	}
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
-		s.log.V(1).Info("deadline for reading not lifted", "id", out.ID, "cause", err.Error())
+		s.log.V(1).Info("read deadline not cleared", "id", out.ID, "cause", err.Error())
 	}
 	out.Body = body
 	s.held.Add(int64(len(body)))
 	return forward.Result{}
 }
 
+// readBody reads a body of known length whole, and of another at most limit+1 bytes, by which
+// the caller of readBody recognises one that is too large.
 func readBody(r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > 0 {
 		body := make([]byte, r.ContentLength)
@@ -356,6 +368,7 @@
 	return io.ReadAll(io.LimitReader(r.Body, limit+1))
 }
 
+// bodyFailed returns the result of a request whose body could not be read.
 func (s *Server) bodyFailed(w http.ResponseWriter, out *forward.Request, err error) forward.Result {
 	s.log.Info("request body not read", "id", out.ID, "cause", err.Error())
 	w.Header().Set("Connection", "close")
@@ -366,7 +379,7 @@
 	return refused(http.StatusBadRequest, ReasonBadRequest, 0)
 }
 
-// answer writes a forwarded answer to the caller.
+// answer writes a target's answer to the caller.
 type answer struct {
 	w     http.ResponseWriter
 	flush *http.ResponseController
--- a/internal/ingress/listener.go
+++ b/internal/ingress/listener.go
@@ -14,26 +14,25 @@
 	"github.com/stepcroft/stepcroft/internal/sockopt"
 )
 
-// ReasonOverdue is why a caller is turned away whose connection waited too long for the
-// processor.
+// ReasonOverdue is the reason for rejecting a connection that waited too long for CPU time.
 const ReasonOverdue forward.Reason = "router-overdue"
 
-// earlyMost bounds what is read of a new connection before the HTTP server has it, in bytes:
-// few requests are larger.
+// earlyMost bounds what is read from a new connection before the HTTP server gets it, in bytes.
+// Few requests are larger.
 const earlyMost = 64 << 10
 
-// listener accepts callers' connections. While the router is short of processor time or
-// throttles an organisation, it refuses requests before the HTTP server has their connections,
-// at a part of the cost. Each caller is told when to come back: one whose connection is just
-// closed connects again at once, several times for a request, and keeps the processor busy with
-// that alone.
+// listener accepts callers' connections. While the router is short of CPU time or throttles an
+// organisation, it refuses requests before the HTTP server gets their connections, at a
+// fraction of the cost. Each refusal carries a Retry-After: if a connection is just closed, the
+// caller reconnects at once, several times per request, and that alone keeps the CPU busy.
 type listener struct {
 	net.Listener
-	// sockets accepts connections of which many are refused; nil if it cannot be had.
+	// sockets accepts connections as plain sockets while many are refused; nil if the
+	// listener is not a TCP listener or the acceptor could not be created.
 	sockets *sockopt.Acceptor
 	server  *Server
 	conns   *conns
-	// buffer is for the one goroutine that accepts.
+	// buffer is used only by the goroutine that calls Accept.
 	buffer *[earlyMost]byte
 }
 
@@ -45,7 +44,7 @@
 	}
 	var err error
 	if out.sockets, err = sockopt.NewAcceptor(tcp); err != nil {
-		s.log.Info("no requests are refused before the HTTP server has them", "cause", err.Error())
+		s.log.Info("early refusal of requests not available", "cause", err.Error())
 	}
 	return out
 }
@@ -63,11 +62,11 @@
 	}
 }
 
-// refusesEarly reports whether requests are refused before the HTTP server has their
-// connections.
+// refusesEarly reports whether requests are to be checked, and may be refused, before the HTTP
+// server gets their connections.
 func (s *Server) refusesEarly() bool { return s.forwarder.Throttles() || s.conns.short() }
 
-// accept accepts a connection. It returns nil if its caller was turned away.
+// accept accepts a connection. It returns nil if the connection was rejected.
 func (l listener) accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
@@ -81,8 +80,8 @@
 	return l.admit(raw, place, nil)
 }
 
-// acceptSocket accepts a connection and looks at what has arrived on it. It returns nil if its
-// caller was turned away or its request refused.
+// acceptSocket accepts a connection as a plain socket and reads what has arrived on it. It
+// returns nil if the connection was rejected or its request refused.
 func (l listener) acceptSocket() (net.Conn, error) {
 	socket, err := l.sockets.Accept()
 	if err != nil {
@@ -100,7 +99,7 @@
 	}
 	raw, err := socket.Conn()
 	if err != nil {
-		// An error that is returned would end the server.
+		// Returning the error would stop http.Server.
 		l.conns.forget(place)
 		l.server.log.Info("accepted connection lost", "cause", err.Error())
 		return nil, nil
@@ -108,7 +107,9 @@
 	return l.admit(raw, place, slices.Clone(ahead))
 }
 
-// admit lets a connection in, of which some bytes were read, once there is room.
+// admit waits until there is room for a connection and returns it for the HTTP server; ahead
+// holds the bytes already read from it. If the listener closes meanwhile, admit refuses the
+// request and returns net.ErrClosed.
 func (l listener) admit(raw net.Conn, place *list.Element, ahead []byte) (net.Conn, error) {
 	if !l.conns.reserve() {
 		l.conns.forget(place)
@@ -129,21 +130,21 @@
 	return l.Listener.Close()
 }
 
-// fresh is the connection of a caller whose request may be refused without waiting for
-// anything.
+// fresh is a new connection on which a request can be refused without blocking.
 type fresh interface {
-	// ReadNow reads what has arrived.
+	// ReadNow reads what has arrived, without blocking, and returns the number of bytes.
 	ReadNow(b []byte) int
 	io.WriteCloser
 }
 
-// tcpCaller is such a connection that the HTTP server may have.
+// tcpCaller implements fresh for a net.Conn.
 type tcpCaller struct{ net.Conn }
 
 func (c tcpCaller) ReadNow(b []byte) int { return sockopt.ReadNow(c.Conn, b) }
 
-// refuseWhole refuses the request of which bytes have arrived, if it is whole and to be
-// refused unread.
+// refuseWhole refuses a request that has arrived completely, if its organisation's requests
+// are to be refused. It returns false, and has done nothing, if the HTTP server is to serve the
+// connection.
 func (s *Server) refuseWhole(c fresh, arrived []byte) bool {
 	h, size, ok := parseHead(arrived, &s.dialect)
 	if !ok || h.length != len(arrived)-size || s.closing.Load() {
@@ -158,9 +159,9 @@
 	return true
 }
 
-// turnAway refuses a request whose connection waited too long for the processor, and of which
-// the first n bytes of a buffer were read. The rest that has arrived is read first: bytes left
-// unread would make the kernel reset the connection, and the caller could lose the answer.
+// turnAway rejects a connection that waited too long for CPU time; the first n bytes of buffer
+// have been read from it. It first reads the rest of what has arrived: the kernel resets a
+// connection that is closed with unread bytes, and the caller could lose the answer.
 func (s *Server) turnAway(c fresh, buffer []byte, n int) {
 	n += c.ReadNow(buffer[n:])
 	r := s.readHead(buffer[:n])
@@ -171,25 +172,27 @@
 	s.refuseLast(c, r, ReasonOverdue, crowdedAfter())
 }
 
-// refuseLast tells a caller that its request has not run and when to come back, and closes
-// its connection.
+// refuseLast answers a request that has not run with 503 and a Retry-After, and closes the
+// connection.
 func (s *Server) refuseLast(c fresh, r forward.Request, why forward.Reason, after time.Duration) {
 	v := refused(http.StatusServiceUnavailable, why, after)
 	if _, err := c.Write(s.quickAnswer(r.ID, v, true)); err != nil {
 		s.log.V(1).Info("refusal not delivered", "id", r.ID, "cause", err.Error())
 	}
-	// The caller has left if this fails.
+	// An error means that the caller has disconnected.
 	_ = c.Close()
 	s.observer.Ended(r, v, 0)
 }
 
-// turnedAway counts callers that were turned away.
+// turnedAway counts rejected connections. logged is the Unix time, in seconds, at which they
+// were last logged.
 type turnedAway struct {
 	all    atomic.Int64
 	logged atomic.Int64
 }
 
-// countTurnedAway logs once a second how many were turned away: there may be thousands.
+// countTurnedAway counts a rejected connection. It logs the total at most once a second, since
+// there may be thousands.
 func (s *Server) countTurnedAway() {
 	all, second := s.turned.all.Add(1), clock.Wall().Unix()
 	if s.turned.logged.Swap(second) == second {
--- a/internal/ingress/listener_test.go
+++ b/internal/ingress/listener_test.go
@@ -29,7 +29,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// arrive lets bytes arrive at a connection that nobody accepts yet.
+	// arrive sends text on a connection that is not accepted yet.
 	arrive := func(text string) (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", l.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
@@ -40,7 +40,7 @@
 		Expect(c.SetReadDeadline(time.Now().Add(5 * time.Second))).To(Succeed())
 		return c, bufio.NewReader(c)
 	}
-	// outcome returns the status and the reason of an answer.
+	// outcome reads an answer and returns it with the reason in its body.
 	outcome := func(answers *bufio.Reader) (*http.Response, string) {
 		res, err := http.ReadResponse(answers, nil)
 		Expect(err).NotTo(HaveOccurred())
@@ -49,13 +49,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		return res, strings.TrimSpace(string(why))
 	}
-	// Larger than what the HTTP server reads at a time.
+	// large is a body size, in bytes, above what the HTTP server reads in one call.
 	const large = 9000
 	request := func(key string) string {
 		return head("/engine/a", key, "r", large, "") + strings.Repeat("x", large)
 	}
 
-	It("are refused with a time to come back, and their connection ends", func() {
+	It("are refused with a Retry-After, and their connection is closed", func() {
 		_, answers := arrive(request("k1"))
 		serve(g, l)
 		res, why := outcome(answers)
@@ -68,7 +68,7 @@
 		Expect(err).To(MatchError(io.EOF))
 	})
 
-	It("go on whole where they are not refused, and so does what follows them", func() {
+	It("reach the HTTP server complete if they are not refused, and so does the next request", func() {
 		c, answers := arrive(request("k2"))
 		serve(g, l)
 		_, why := outcome(answers)
@@ -78,7 +78,7 @@
 		Expect(why).To(Equal("no-target"))
 	})
 
-	It("are refused with the rest of their body taken where that comes later", func() {
+	It("are refused after the rest of their body is read if that arrives later", func() {
 		text := request("k1")
 		c, answers := arrive(text[:large/2])
 		serve(g, l)
--- a/internal/ingress/overdue_test.go
+++ b/internal/ingress/overdue_test.go
@@ -10,9 +10,9 @@
 	"github.com/stepcroft/stepcroft/internal/group"
 )
 
-// A router short of processor time looked at connections up to two seconds after they had
-// come. Those that have waited for too long are turned away, as new ones are meanwhile, and
-// none is where there is time.
+// A router that is short of CPU time first reads connections up to two seconds after they were
+// accepted. It must reject a connection that has waited too long, and new ones while one waits
+// too long. A router that is not short of CPU time must reject none.
 func TestOverdueConnectionIsTurnedAway(t *testing.T) {
 	for name, short := range map[string]bool{"short of processor time": true, "not short": false} {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					// Nobody looks at it for a while.
+					// The first read of the connection comes late.
 					g.Go(func() {
 						time.Sleep(200 * time.Millisecond)
 						if _, err := c.Read(make([]byte, 1)); err == nil {
@@ -66,10 +66,10 @@
 				want, turned = 0, 2
 			}
 			if served.Load() != want || s.TurnedAway() != turned {
-				t.Errorf("%d served, %d turned away, want %d and %d", served.Load(), s.TurnedAway(), want, turned)
+				t.Errorf("%d served, %d rejected, want %d and %d", served.Load(), s.TurnedAway(), want, turned)
 			}
 			if s.conns.fresh.Enqueue(time.Now().Add(time.Hour), true) == nil {
-				t.Error("a connection that is gone counts as waiting")
+				t.Error("a closed connection still counts as waiting")
 			}
 		})
 	}
--- a/internal/ingress/quick.go
+++ b/internal/ingress/quick.go
@@ -13,14 +13,14 @@
 	"github.com/stepcroft/stepcroft/internal/forward"
 )
 
-// An organisation that sends many times its share can keep a small box busy
-// with refusals alone. These are therefore given before the HTTP server sees
-// the request, at a fraction of the cost, and with the body taken so that the
-// connection can be used again. Everything unusual goes to the HTTP server.
-
-// refuseQuickly answers a request whose first bytes are given if it is to be
-// refused for its organisation's waiting requests. It returns false, and has
-// done nothing, if the HTTP server is to serve the request.
+// An organisation that sends many times its share can keep a small box busy with refusals
+// alone. Its requests are therefore refused before the HTTP server sees them, at a fraction of
+// the cost. The body is read and discarded, so that the connection can be reused. Requests in
+// any unusual form go to the HTTP server.
+
+// refuseQuickly answers a request that starts with the given bytes if it is to be refused
+// because of its organisation's load. It returns false, and has done nothing, if the HTTP
+// server is to serve the request.
 func (s *Server) refuseQuickly(c *conn, first []byte) (bool, error) {
 	if s.closing.Load() {
 		return false, nil
@@ -47,15 +47,15 @@
 	return true, errors.Wrap(c.SetReadDeadline(clock.Deadline(idleTimeout)), "wait for the next request")
 }
 
-// request returns the request of a head, without its organisation.
+// request converts a request's head to a request without route and organisation.
 func (h quickHead) request() forward.Request {
 	out := forward.Request{ID: string(h.id), Method: string(h.method), URI: string(h.target), Host: string(h.host)}
 	out.Input, out.Output = sizes(string(h.size), string(h.hint))
 	return out
 }
 
-// readHead returns the request that bytes begin with, with its organisation if that is known,
-// and the zero request where they hold no whole head.
+// readHead returns the request at the start of b, with its organisation if that is known, or
+// the zero request if b does not hold a complete head.
 func (s *Server) readHead(b []byte) forward.Request {
 	h, _, ok := parseHead(b, &s.dialect)
 	if !ok {
@@ -68,7 +68,8 @@
 	return out
 }
 
-// crowded returns the request of a head and why it is to be refused, or "".
+// crowded returns the request of a head and the reason to refuse it because of its
+// organisation's load, or "".
 func (s *Server) crowded(h quickHead) (forward.Request, forward.Reason) {
 	out := h.request()
 	t := s.table.Load()
@@ -88,8 +89,8 @@
 	return out, s.forwarder.Crowded(out.Organisation, offer(out))
 }
 
-// quickAnswer returns a refusal as it is written; last tells the caller that the connection
-// ends with it.
+// quickAnswer returns the bytes of a refusal; if last is set, its header says that the
+// connection is closed.
 func (s *Server) quickAnswer(id string, v forward.Result, last bool) []byte {
 	b := make([]byte, 0, 256)
 	b = append(b, "HTTP/1.1 503 Service Unavailable\r\n"...)
@@ -105,13 +106,13 @@
 	return append(b, string(v.Reason)+"\n"...)
 }
 
-// scratchSize is the size of a buffer for bytes that nobody needs.
+// scratchSize is the size, in bytes, of a buffer for input that is discarded.
 const scratchSize = 16 << 10
 
-// scratch holds such buffers.
+// scratch holds buffers for input that is discarded.
 var scratch = sync.Pool{New: func() any { return new([scratchSize]byte) }}
 
-// discard reads n bytes.
+// discard reads n bytes of a request's body and drops them.
 func discard(c *conn, n int) error {
 	if n == 0 {
 		return nil
@@ -134,12 +135,12 @@
 	return nil
 }
 
-// quickHead is what a quick refusal needs of a request's head.
+// quickHead holds the values of a request's head that refusing it takes.
 type quickHead struct {
 	method, target, host, id, authorization []byte
-	// size and hint are the prompt's size and the guess of the tokens out.
+	// size and hint are the header values that sizes parses.
 	size, hint []byte
-	// length is that of the body, in bytes.
+	// length is the length of the body, in bytes.
 	length int
 }
 
@@ -149,10 +150,10 @@
 	version = []byte(" HTTP/1.1")
 )
 
-// parseHead reads a request's head and returns its size. It returns false
-// for one that is not whole, and for all that is unusual: a body whose length
-// is not given exactly once, folded lines, the end of the connection asked
-// for.
+// parseHead parses the head of a request and returns its size in bytes. It returns false if
+// the head is incomplete, or unusual and so left to the HTTP server: among others without a
+// Host, with a repeated header of those read here, with a Content-Length that is not a positive
+// number, with folded lines, or with a Connection, Transfer-Encoding, Expect or Upgrade header.
 func parseHead(b []byte, names *forward.Dialect) (h quickHead, size int, ok bool) {
 	end := bytes.Index(b, headEnd)
 	if end < 0 {
@@ -172,6 +173,7 @@
 	return h, end + len(headEnd), h.host != nil
 }
 
+// requestLine parses the request line, without its line end.
 func (h *quickHead) requestLine(l []byte) bool {
 	l, ok := bytes.CutSuffix(l, version)
 	if !ok {
@@ -181,7 +183,8 @@
 	return ok && len(h.target) > 0 && h.target[0] == '/' && !bytes.ContainsRune(h.target, ' ')
 }
 
-// header takes a header line into account.
+// header parses a header line, without its line end. It returns false if the HTTP server is to
+// parse the request.
 func (h *quickHead) header(l []byte, names *forward.Dialect) bool {
 	name, value, ok := bytes.Cut(l, []byte(":"))
 	if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") {
@@ -210,7 +213,8 @@
 	return true
 }
 
-// once sets a header that may stand in a request once.
+// once sets *to to the value of a header, and returns false if it is set already, since the
+// header must not be repeated.
 func once(to *[]byte, value []byte) bool {
 	if *to != nil {
 		return false
@@ -219,6 +223,7 @@
 	return true
 }
 
+// equal reports whether a header's name is want, ignoring case.
 func equal(name []byte, want string) bool {
 	return len(name) == len(want) && bytes.EqualFold(name, []byte(want))
 }
--- a/internal/ingress/quick_test.go
+++ b/internal/ingress/quick_test.go
@@ -33,7 +33,7 @@
 
 var dialect = forward.Dialect{RequestID: "X-Id", Deadline: "X-Wait-Ms", Organisation: "X-Organisation"}
 
-// unreachable is a sender that reaches nobody.
+// unreachable is a sender that cannot reach any target.
 type unreachable struct{}
 
 func (unreachable) Send(context.Context, string, httptarget.Request) (*httptarget.Answer, error) {
@@ -42,28 +42,28 @@
 
 func (unreachable) ProcessExited(context.Context, string, string) bool { return false }
 
-// trusting suspects no request.
+// trusting is a forward.Suspects that suspects no request.
 type trusting struct{ forward.Suspects }
 
 func (trusting) View() *quarantine.View                         { return nil }
 func (trusting) RecordExit(balance.Target)                      {}
 func (trusting) RecordBreak(context.Context, forward.Break) int { return 0 }
 
-// ended keeps nothing of what it is told.
+// ended is an observer and forward.Counters that ignore all calls.
 type ended struct{}
 
 func (ended) Ended(forward.Request, forward.Result, time.Duration) {}
 func (ended) CountRetry(forward.Reason)                            {}
 func (ended) CountAdvice(forward.Advice)                           {}
 
-// maxConnections is the most connections that newServer's server has.
+// maxConnections is the maximum number of connections of newServer's server.
 const maxConnections = 3
 
-// crowd is more requests of one organisation than may wait.
+// crowd is a number of requests above the maximum queue length of an organisation.
 const crowd = 30
 
-// newServer serves callers of the organisations "loud", whose requests to
-// engines crowd the queue, and "calm", and returns its address.
+// newServer starts a server for callers of two organisations and returns its address: "loud",
+// which has a full queue of requests to engines, and "calm".
 func newServer(g *group.Group) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,7 +73,7 @@
 	return l.Addr().String()
 }
 
-// serve serves the same callers where they connect to l.
+// serve starts the server of newServer on l.
 func serve(g *group.Group, l net.Listener) {
 	limits := balance.Limits{RetryRatio: 1, RetrySlack: 100, RetryWindow: time.Second, QuotaWindow: time.Second}
 	loop := balance.NewLoop(balance.New(time.Now(), "z", limits, rand.New(rand.NewPCG(1, 1))))
@@ -111,13 +111,13 @@
 	})
 }
 
-// head is a request's head; more has further header lines.
+// head returns a request's head; more holds further header lines.
 func head(path, key, id string, length int, more string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nX-Id: %s\r\nX-Wait-Ms: 2000\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n%s\r\n",
 		path, id, key, length, more)
 }
 
-var _ = Describe("An organisation that crowds the queue", func() {
+var _ = Describe("An organisation with a full queue", func() {
 	var c net.Conn
 	var answers *bufio.Reader
 
@@ -131,8 +131,7 @@
 		answers = bufio.NewReader(c)
 	})
 
-	// ask writes the pieces one by one and returns the answer, whose body is
-	// read.
+	// ask writes the pieces one by one and returns the answer, with its body as Status.
 	ask := func(pieces ...string) *http.Response {
 		for i, p := range pieces {
 			if i > 0 {
@@ -150,7 +149,7 @@
 		return res
 	}
 
-	It("is refused with its body taken, so that the connection can go on", func() {
+	It("is refused after its body is read, so that the connection can be reused", func() {
 		body := strings.Repeat("x", 20_000)
 		for i := range 3 {
 			id := fmt.Sprint("r", i)
@@ -168,7 +167,7 @@
 	})
 
 	DescribeTable(
-		"does not keep others from being served",
+		"does not affect other requests",
 		func(request, status string) {
 			Expect(ask(request).Status).To(Equal(status))
 			Expect(ask(head("/engine/a", "k1", "q", 3, "") + "abc").Status).To(Equal(string(ingress.ReasonCrowded)))
@@ -180,7 +179,7 @@
 		Entry("a request without a body", head("/plain/a", "k1", "r", 0, ""), string(balance.NoTarget)),
 	)
 
-	It("is refused too where its request is sent in an unusual way", func() {
+	It("is refused if its request has an unusual form", func() {
 		res := ask("POST /engine/a HTTP/1.1\r\nHost: h\r\nX-Id: r\r\nAuthorization: Bearer k1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
 		Expect(res.Status).To(Equal(string(ingress.ReasonCrowded)))
 	})
@@ -190,7 +189,7 @@
 		Expect(ask(h[:30], h[30:], "abc").Status).To(Equal(string(ingress.ReasonCrowded)))
 	})
 
-	It("cannot smuggle a request behind another length", func() {
+	It("cannot smuggle a request with a second Content-Length", func() {
 		two := head("/engine/a", "k1", "r", 3, "Content-Length: 0\r\n") + "abc"
 		Expect(ask(two).StatusCode).To(Equal(http.StatusBadRequest))
 	})
--- a/internal/ingress/told_test.go
+++ b/internal/ingress/told_test.go
@@ -18,7 +18,7 @@
 	"github.com/stepcroft/stepcroft/internal/group"
 )
 
-// aged is a listener whose connections have waited for a second when they are looked at.
+// aged is a listener whose connections have waited for a second before their first read.
 type aged struct{ listener }
 
 func (a aged) Accept() (net.Conn, error) {
@@ -30,7 +30,7 @@
 	return c, nil
 }
 
-// turnedAwayOnly is told of no request but those that were turned away.
+// turnedAwayOnly is an observer that expects only rejections of overdue connections.
 type turnedAwayOnly struct{ t *testing.T }
 
 func (o turnedAwayOnly) Ended(r forward.Request, v forward.Result, _ time.Duration) {
@@ -39,8 +39,7 @@
 	}
 }
 
-// newBusyServer returns a server that is short of processor time, or never is, and tells o of
-// requests.
+// newBusyServer returns a server with observer o that is always short of CPU time, or never is.
 func newBusyServer(o Observer, short bool) *Server {
 	loop := balance.NewLoop(balance.New(clock.Now(), "z", balance.Limits{}, rand.New(rand.NewPCG(1, 1))))
 	d := forward.Dialect{RequestID: "X-Id"}
@@ -49,11 +48,11 @@
 	return s
 }
 
-// Callers whose connection had no time of the processor were told nothing, or that their
-// request was bad, which they do not send again.
+// A caller whose connection waited too long for CPU time must get 503 with a Retry-After. It
+// used to get no answer, or 400 Bad Request, after which callers do not retry.
 func TestOverdueCallerIsToldWhenToComeBack(t *testing.T) {
 	const body = 9000
-	for name, place := range map[string]bool{"has waited for too long": true, "comes behind one that has": false} {
+	for name, place := range map[string]bool{"has waited for too long": true, "comes after one that has": false} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -88,7 +87,7 @@
 	}
 }
 
-// leaving is told of no request but those that came as the router stopped.
+// leaving is an observer that expects only refusals because the router shuts down.
 type leaving struct{ t *testing.T }
 
 func (o leaving) Ended(r forward.Request, v forward.Result, _ time.Duration) {
@@ -97,8 +96,8 @@
 	}
 }
 
-// A request that was read while all connections were in use lost its answer when the router
-// stopped before there was room.
+// A request that was read before its connection could be admitted, since all connections were
+// in use, must be answered if the router shuts down before there is room.
 func TestReadAheadIsAnsweredWhenTheListenerCloses(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,7 +122,7 @@
 			_ = accepted.Close()
 		}
 	})
-	// The request is read by then and waits for room.
+	// By then the request has been read and its connection waits for room.
 	time.Sleep(50 * time.Millisecond)
 	if err := in.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -14,13 +14,13 @@
 	"github.com/stepcroft/stepcroft/internal/request"
 )
 
-// mailbox is the number of events that may wait for the control thread.
+// mailbox is the maximum number of events queued for the control loop.
 const mailbox = 4096
 
-// event is something that the control thread does.
+// event is a function that the control loop runs on the control state.
 type event func(s *control.State, now time.Time)
 
-// loop is the control thread: one goroutine that owns the control state.
+// loop is the control loop: one goroutine, in run, that owns the control state.
 type loop struct {
 	events chan event
 	done   <-chan struct{}
@@ -30,7 +30,7 @@
 	return &loop{events: make(chan event, mailbox), done: g.Context().Done()}
 }
 
-// do queues an event. After the loop's end it does nothing.
+// do queues an event, waiting while the queue is full. After the loop has ended it does nothing.
 func (l *loop) do(e event) {
 	select {
 	case l.events <- e:
@@ -38,7 +38,7 @@
 	}
 }
 
-// call runs an event and waits for it.
+// call queues an event and waits until it has run or the loop has ended.
 func (l *loop) call(e event) {
 	ran := make(chan struct{})
 	l.do(func(s *control.State, now time.Time) {
@@ -51,6 +51,7 @@
 	}
 }
 
+// run handles events and calls Tick once a period until ctx ends.
 func (l *loop) run(ctx context.Context, s *control.State, period time.Duration) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -66,14 +67,15 @@
 	}
 }
 
-// outlet carries out the control state's decisions.
+// outlet delivers the control state's decisions to the waiting requests and its messages to
+// other routers.
 type outlet struct{ peers *peer.Transport }
 
 func (outlet) Decide(t *request.Ticket, d request.Decision) { t.Decision <- d }
 
 func (o outlet) Send(to member.Member, m message.Message) { o.peers.Send(to, m) }
 
-// core is the control thread as the callers' interface sees it.
+// core gives the handler of callers' requests access to the control loop.
 type core struct{ router *Router }
 
 func (c core) Submit(t *request.Ticket) {
--- a/internal/router/poll.go
+++ b/internal/router/poll.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// pollPeriod is how often an engine is asked for its load by its owner.
+	// pollPeriod is the interval between two polls of an engine's load by its owner.
 	pollPeriod = time.Second
-	// pollCheck is how often newly owned engines are looked for.
+	// pollCheck is the interval between two checks for engines whose poll is due, among them
+	// newly owned ones.
 	pollCheck = 100 * time.Millisecond
-	// pollTimeout bounds one question.
+	// pollTimeout bounds the time of a single poll.
 	pollTimeout = 800 * time.Millisecond
 )
 
-// pollEngines asks the engines that this router owns for their load.
+// pollEngines polls the load of the engines that this router owns until ctx ends.
 func (r *Router) pollEngines(ctx context.Context) {
 	asked := map[string]time.Time{}
 	ticker := time.NewTicker(pollCheck)
@@ -35,7 +36,8 @@
 	}
 }
 
-// due returns the owned engines whose turn it is, and forgets the others.
+// due returns the owned engines whose poll is due and sets the time of their last poll, which
+// asked holds by name. It deletes the engines that are no longer owned from asked.
 func (r *Router) due(asked map[string]time.Time) []config.Box {
 	var owned, due []config.Box
 	r.loop.call(func(s *control.State, _ time.Time) { owned = s.OwnedEngines() })
@@ -56,6 +58,7 @@
 	return due
 }
 
+// pollEngine polls the load of an engine and records it, or that the engine is unreachable.
 func (r *Router) pollEngine(ctx context.Context, box config.Box) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,6 @@
-// Package router puts one router together: the control thread, the callers'
-// interface, the streams to other routers, and what feeds them.
+// Package router assembles a router of the engine-pool kind: the control loop, the HTTP server
+// for callers, the streams to other routers, the synchronisation of the configuration, and the
+// polling of engines.
 package router
 
 import (
@@ -40,23 +41,23 @@
 	DefaultPollers        = 2
 )
 
-// Bounds on what is remembered of past requests.
+// Limits on the records kept of past requests: their number, their total size in bytes, and the
+// size of a single body in bytes.
 const (
 	maxRecords     = 100000
 	maxRecordBytes = 32 << 20
 	maxRecordBody  = 64 << 10
 )
 
-// Options are what a router is made of. Zero durations and numbers mean the
-// defaults above.
+// Options configures a router. Zero durations and numbers mean the defaults above.
 type Options struct {
 	ID   string
 	Zone string
-	// Listen and PeerListen are the addresses for callers and for other
-	// routers; port 0 takes a free one.
+	// Listen and PeerListen are the addresses on which the router listens for callers and for
+	// other routers; port 0 means any free port.
 	Listen     string
 	PeerListen string
-	// AdminListen is the address for metrics; empty means none.
+	// AdminListen is the address on which metrics are served; empty means none.
 	AdminListen    string
 	Platform       port.Platform
 	ReportPeriod   time.Duration
@@ -65,10 +66,10 @@
 	MaxConnections int
 	// Pollers is the number of goroutines that read callers' connections.
 	Pollers int
-	// ViewDelay and Policy are for experiments; see control.Options.
+	// ViewDelay and Policy are used in experiments only; see control.Options.
 	ViewDelay time.Duration
 	Policy    string
-	// Seed seeds the router's random choices; 0 means a random seed.
+	// Seed seeds the router's random numbers; 0 means a random seed.
 	Seed uint64
 	Log  logr.Logger
 }
@@ -85,6 +86,7 @@
 	return o
 }
 
+// orDefault returns d if v is zero, and v otherwise.
 func orDefault[T comparable](v, d T) T {
 	var zero T
 	if v == zero {
@@ -93,7 +95,7 @@
 	return v
 }
 
-// Router is one running router. Use New to make one.
+// Router is a running router. Use New to create one.
 type Router struct {
 	options  Options
 	self     member.Member
@@ -110,7 +112,7 @@
 	gate     gate
 }
 
-// gate refuses callers until the router is ready for them.
+// gate refuses requests until its handler is set, once the router has a configuration.
 type gate struct {
 	handler atomic.Pointer[httpcaller.Handler]
 }
@@ -124,7 +126,7 @@
 	h.ServeHTTP(w, r)
 }
 
-// refuse answers a request that no handler has seen.
+// refuse answers a request that does not reach httpcaller.Handler.
 func refuse(w http.ResponseWriter, why request.Reason, detail string) {
 	w.Header().Set(httpcaller.HeaderOutcome, string(request.NotRun))
 	w.Header().Set(httpcaller.HeaderReason, string(why))
@@ -132,7 +134,7 @@
 	http.Error(w, detail, why.Status())
 }
 
-// full refuses requests on connections beyond the bound.
+// full refuses requests on connections beyond the maximum.
 func (r *Router) full(w http.ResponseWriter, _ *http.Request) {
 	r.metrics.Refused(request.ReasonProcessFull)
 	refuse(w, request.ReasonProcessFull, "too many connections")
@@ -161,6 +163,7 @@
 	return r, r.startAdmin()
 }
 
+// assemble creates the router's parts and starts their goroutines.
 func (r *Router) assemble(listener net.Listener) {
 	o := r.options
 	random := rand.New(rand.NewPCG(o.Seed, r.self.Incarnation))
@@ -183,6 +186,7 @@
 	r.group.GoContext(r.pollEngines)
 }
 
+// startAdmin starts the server for metrics, if it has an address.
 func (r *Router) startAdmin() error {
 	if r.options.AdminListen == "" {
 		return nil
@@ -201,36 +205,36 @@
 	r.loop.do(func(s *control.State, now time.Time) { s.Receive(from, m, now) })
 }
 
-// configure puts a configuration in force; the first one opens the gate.
+// configure applies a configuration. The first one lets the gate pass requests.
 func (r *Router) configure(snapshot config.Snapshot) {
 	r.snapshot.Store(&snapshot)
 	r.loop.do(func(s *control.State, now time.Time) { s.Configure(snapshot, now) })
 	r.gate.handler.CompareAndSwap(nil, r.handler)
 }
 
-// Address returns the address for callers.
+// Address returns the address on which the router serves callers.
 func (r *Router) Address() string { return r.self.Address }
 
-// Self returns the router as others see it.
+// Self returns the router's entry in the fleet's list of members.
 func (r *Router) Self() member.Member { return r.self }
 
 // Metrics returns the router's counters.
 func (r *Router) Metrics() *metrics.Metrics { return r.metrics }
 
-// PeerStats returns totals of what was sent to other routers.
+// PeerStats returns the totals of what was sent to other routers.
 func (r *Router) PeerStats() peer.Stats { return r.peers.Stats() }
 
-// Cut drops messages from and to peer addresses, for experiments.
+// Cut makes the router drop messages from and to the given peer addresses, for experiments.
 func (r *Router) Cut(addresses map[string]bool) { r.peers.Cut(addresses) }
 
-// Status returns a picture of the control state.
+// Status returns a summary of the control state.
 func (r *Router) Status() control.Status {
 	var status control.Status
 	r.loop.call(func(s *control.State, now time.Time) { status = s.Status(now) })
 	return status
 }
 
-// publish adds the values that are worked out when metrics are read.
+// publish registers the metrics that are computed when they are read.
 func (r *Router) publish() {
 	r.metrics.Set("control", func() any { return r.Status() })
 	r.metrics.Set("peers", func() any { return r.peers.Stats() })
@@ -240,15 +244,15 @@
 	r.metrics.Set("callers", func() any { return callerStats{r.handler.Working()} })
 }
 
-// callerStats is what callers' connections are doing.
+// callerStats is the published state of callers' requests.
 type callerStats struct {
-	// Working is the number of requests being answered.
+	// Working is the number of requests being served.
 	Working int `json:"working"`
 }
 
-// Drain makes a planned stop: the router leaves the answer to which
-// addresses to use, goes on serving callers that hold an older answer until
-// that has expired, and returns when its last request has ended.
+// Drain shuts the router down in a planned way. The router is no longer listed in the addresses
+// that callers are given. It serves callers that got an older list until that has expired, then
+// refuses new requests, and Drain returns when the last request has ended.
 func (r *Router) Drain(ctx context.Context) error {
 	r.loop.do(func(s *control.State, now time.Time) { s.Leave(now) })
 	select {
@@ -267,13 +271,14 @@
 	return nil
 }
 
+// idle reports whether no request waits, runs or is being answered.
 func (r *Router) idle() bool {
 	idle := false
 	r.loop.call(func(s *control.State, _ time.Time) { idle = s.Idle() })
 	return idle && r.handler.Working() == 0
 }
 
-// Stop ends the router at once.
+// Stop stops the router at once.
 func (r *Router) Stop() {
 	r.callers.Stop()
 	if r.admin != nil {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -36,7 +36,7 @@
 
 const loopback = "127.0.0.1:0"
 
-// site is two routers before one engine and one service.
+// site is a fleet of two routers with one engine and one service.
 type site struct {
 	platform *standin.Platform
 	engine   *standin.Engine
@@ -108,7 +108,7 @@
 	s.platform.Stop()
 }
 
-// answer is a caller's view of an answer.
+// answer is an answer as a caller receives it.
 type answer struct {
 	status  int
 	header  http.Header
@@ -172,7 +172,7 @@
 	BeforeAll(func() { s = newSite() })
 	AfterAll(func() { s.stop() })
 
-	It("gives whole and streamed answers, from either router", func() {
+	It("serves whole and streamed answers through either router", func() {
 		for i, r := range s.routers {
 			tag := fmt.Sprintf("t%d", i)
 			whole := s.do(r, "POST", "/v1/chat/completions", chat(tag, 3, false))
@@ -186,7 +186,7 @@
 	})
 
 	for name, c := range badRequests {
-		It("refuses with a reason, a detail and the truth about running: "+name, func() {
+		It("refuses with a reason, a detail and whether the request ran: "+name, func() {
 			a := s.do(s.routers[0], c.method, c.path, c.body, c.header...)
 			Expect(a.reason).To(Equal(c.reason), a.body)
 			Expect(a.status).To(Equal(c.reason.Status()))
@@ -199,7 +199,7 @@
 		})
 	}
 
-	It("names its routers to callers", func() {
+	It("lists the addresses of the routers", func() {
 		a := s.do(s.routers[0], "GET", "/v1/addresses", "")
 		var got httpcaller.Addresses
 		Expect(json.Unmarshal([]byte(a.body), &got)).To(Succeed())
@@ -207,7 +207,7 @@
 		Expect(got.LifetimeSeconds).To(Equal(10))
 	})
 
-	It("runs a call with a reserved id once and gives its answer again, through any router", func() {
+	It("runs a call with a reserved id once and repeats its answer, through any router", func() {
 		reserved := s.do(s.routers[0], "POST", "/v1/requests", "")
 		var status struct{ ID string }
 		Expect(json.Unmarshal([]byte(reserved.body), &status)).To(Succeed())
@@ -223,7 +223,7 @@
 		Expect(other.reason).To(Equal(request.ReasonUnknownRequest))
 	})
 
-	It("does not repeat a call whose answer was lost unless it may", func() {
+	It("does not retry a call whose answer was lost if it may not be repeated", func() {
 		s.service.SetFaults(standin.Faults{LoseAnswers: true})
 		defer s.service.SetFaults(standin.Faults{})
 		a := s.do(s.routers[0], "POST", "/v1/services/pay/x", "lost")
@@ -231,14 +231,14 @@
 		Expect(a.reason).To(Equal(request.ReasonTargetFailed))
 	})
 
-	It("says not-run of what a target refused", func() {
+	It("reports not-run for a request that a target refused", func() {
 		s.service.SetFaults(standin.Faults{Refuse: true})
 		defer s.service.SetFaults(standin.Faults{})
 		a := s.do(s.routers[0], "POST", "/v1/services/pay/x", "refused")
 		Expect(a.outcome).To(Equal(request.NotRun))
 	})
 
-	It("has a broken answer continued where the engine can, also one that may not be repeated", func() {
+	It("resumes a broken answer on an engine that can, even if the request may not be repeated", func() {
 		s.engine.SetFaults(standin.Faults{BreakAfter: 3})
 		defer s.engine.SetFaults(standin.Faults{})
 		for _, stream := range []bool{true, false} {
@@ -250,7 +250,7 @@
 		}
 	})
 
-	It("begins a whole answer anew when it runs the request again", func() {
+	It("restarts an answer that is not streamed when it retries the request", func() {
 		s.engine.SetFaults(standin.Faults{BreakAfter: 3, ForgetBroken: true})
 		answered := make(chan answer, 1)
 		g := group.New(context.Background())
@@ -275,7 +275,7 @@
 		Expect(strings.Count(a.body, strings.TrimSpace(standin.Token("w", 0)))).To(Equal(1), a.body)
 	})
 
-	It("ends a broken stream so that no client takes it for whole", func() {
+	It("ends a broken stream so that no client takes it for complete", func() {
 		s.engine.SetFaults(standin.Faults{BreakAfter: 2, ForgetBroken: true})
 		defer s.engine.SetFaults(standin.Faults{})
 		a := s.do(s.routers[0], "POST", "/v1/chat/completions", chat("b", 9, true))
@@ -286,7 +286,7 @@
 		Expect(whole.status).To(Equal(502))
 	})
 
-	It("drops what has waited beyond its deadline, and says not-run", func() {
+	It("drops requests that wait beyond their deadline, and reports not-run", func() {
 		g := group.New(context.Background())
 		for range 2 {
 			g.Go(func() {
@@ -316,7 +316,7 @@
 		g.Wait()
 	})
 
-	It("frees the slot of a caller that goes away, and of one that cancels by id", func() {
+	It("frees the slot of a caller that disconnects, and of one that cancels by id", func() {
 		conn, err := net.Dial("tcp", s.routers[0].Address())
 		Expect(err).NotTo(HaveOccurred())
 		body := chat("gone", 100000, true)
@@ -343,7 +343,7 @@
 		g.Wait()
 	})
 
-	It("survives nonsense on its connections", func() {
+	It("keeps serving after malformed requests", func() {
 		for _, text := range []string{
 			"\x00\x01\x02\r\n\r\n", "GET / HTTP/9.9\r\n\r\n",
 			"POST /v1/chat/completions HTTP/1.1\r\nContent-Length: -5\r\n\r\n",
@@ -358,7 +358,7 @@
 		Expect(a.outcome).To(Equal(request.Completed))
 	})
 
-	It("keeps serving through an outage of the platform and takes later changes up", func() {
+	It("keeps serving through an outage of the platform and applies later changes", func() {
 		s.platform.SetFaults(standin.Faults{Outage: true})
 		a := s.do(s.routers[0], "POST", "/v1/chat/completions", chat("out", 1, false))
 		Expect(a.outcome).To(Equal(request.Completed))
@@ -369,7 +369,7 @@
 		}, "30s").Should(Equal(200))
 	})
 
-	It("keeps the last good object in force where a later one is invalid", func() {
+	It("keeps the last valid object in force if a later one is invalid", func() {
 		s.seed(config.KindPool, "chat", config.Pool{Name: "chat", Policy: "nonsense"})
 		s.seed(config.KindOrganisation, "parks", config.Organisation{Name: "parks", Keys: []string{config.HashKey("k4")}})
 		Eventually(func() int {
@@ -383,7 +383,7 @@
 		s.seed(config.KindPool, "chat", config.Pool{Name: "chat", Policy: "share"})
 	})
 
-	It("starts while the platform is out, with what the others have", func() {
+	It("starts during an outage of the platform with the configuration of the other routers", func() {
 		s.platform.SetFaults(standin.Faults{Outage: true})
 		defer s.platform.SetFaults(standin.Faults{})
 		before := s.routers[1]
@@ -400,7 +400,7 @@
 		}, "30s").Should(Equal(request.Completed))
 	})
 
-	It("passes changes on to the routers that do not watch", func() {
+	It("forwards changes to the routers that do not watch the platform", func() {
 		Eventually(func() int { return s.routers[0].Status().Routers }, "5s").Should(Equal(3), s.do(s.routers[0], "GET", "/v1/addresses", "").body)
 		s.seed(config.KindOrganisation, "ponds", config.Organisation{Name: "ponds", Keys: []string{config.HashKey("k5")}})
 		for _, r := range s.routers {
@@ -410,7 +410,7 @@
 		}
 	})
 
-	It("hands over when it is stopped, and serves callers with an older answer meanwhile", func() {
+	It("drains, and meanwhile serves callers that have an older list of addresses", func() {
 		r3 := s.start("r3")
 		Eventually(func() int { return s.routers[0].Status().Routers }, "10s").Should(Equal(4))
 		drained := make(chan error, 1)
@@ -426,7 +426,7 @@
 		Expect(refused.outcome).To(Equal(request.NotRun))
 	})
 
-	It("has every metric and reason word in the operators' page", func() {
+	It("documents every metric in the operators' page", func() {
 		page, err := os.ReadFile("../../docs/OPERATING.md")
 		Expect(err).NotTo(HaveOccurred())
 		recorder := httptest.NewRecorder()
@@ -441,7 +441,7 @@
 		}
 	})
 
-	It("shows its counters", func() {
+	It("counts refusals by reason", func() {
 		var out bytes.Buffer
 		s.routers[0].Metrics().Refusals(func(r request.Reason, n int64) { fmt.Fprintln(&out, r, n) })
 		Expect(out.String()).To(ContainSubstring("bad-request"))
--- a/internal/sockopt/accept.go
+++ b/internal/sockopt/accept.go
@@ -6,16 +6,16 @@
 	"syscall"
 )
 
-// Acceptor accepts the connections of a TCP listener as plain sockets. A connection that is
-// answered and closed at once takes half of the system calls that it takes as a net.Conn.
-// Use NewAcceptor to make one.
+// Acceptor accepts connections of a TCP listener as plain sockets. To answer a connection and
+// close it at once takes half as many system calls that way as with a net.Conn.
+// Use NewAcceptor to create one.
 type Acceptor struct {
 	file *os.File
 	raw  syscall.RawConn
 }
 
-// NewAcceptor returns an acceptor of a listener, which may be used beside it and has to be
-// closed by itself.
+// NewAcceptor returns an acceptor for a listener. Both can be used at the same time, and each
+// must be closed.
 func NewAcceptor(l *net.TCPListener) (*Acceptor, error) {
 	file, err := l.File()
 	if err != nil {
@@ -29,7 +29,7 @@
 	return &Acceptor{file: file, raw: raw}, nil
 }
 
-// Accept waits for a connection.
+// Accept waits for a connection and returns it.
 func (a *Acceptor) Accept() (Socket, error) {
 	var fd int
 	var failed error
@@ -43,7 +43,8 @@
 	return Socket(fd), failed
 }
 
-// accept accepts a connection, passing over those that ended before.
+// accept accepts a connection. It retries if the call was interrupted or the connection was
+// aborted before it was accepted, and returns EAGAIN if there is none.
 func accept(listening int) (int, error) {
 	for {
 		fd, _, err := syscall.Accept4(listening, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
@@ -56,10 +57,12 @@
 // Close closes the acceptor, but not its listener.
 func (a *Acceptor) Close() error { return a.file.Close() }
 
-// Socket is a TCP connection that nothing waits for.
+// Socket is the file descriptor of a non-blocking TCP connection. It is not registered with the
+// runtime's network poller.
 type Socket int
 
-// ReadNow reads what has arrived, without waiting for more. It returns 0 where nothing has.
+// ReadNow reads what has arrived, without blocking, and returns the number of bytes; 0 if
+// nothing has arrived or the connection has failed.
 func (s Socket) ReadNow(b []byte) int {
 	n, err := syscall.Read(int(s), b)
 	if err != nil {
@@ -68,16 +71,16 @@
 	return n
 }
 
-// Write writes what the kernel takes at once.
+// Write writes what fits into the kernel's send buffer, without blocking.
 func (s Socket) Write(b []byte) (int, error) { return syscall.Write(int(s), b) }
 
 // Close closes the connection.
 func (s Socket) Close() error { return syscall.Close(int(s)) }
 
-// Conn returns the connection as a net.Conn, which takes the place of the socket.
+// Conn returns the connection as a net.Conn. The socket must not be used afterwards.
 func (s Socket) Conn() (net.Conn, error) {
 	file := os.NewFile(uintptr(s), "connection")
-	// The net.Conn has a descriptor of its own.
+	// The net.Conn has a duplicate of the descriptor.
 	defer file.Close()
 	return net.FileConn(file)
 }
--- a/internal/sockopt/accept_test.go
+++ b/internal/sockopt/accept_test.go
@@ -10,7 +10,7 @@
 	"github.com/stepcroft/stepcroft/internal/sockopt"
 )
 
-// listening returns a listener and an acceptor of it, and closes both at the end.
+// listening returns a listener and an acceptor for it, and closes both when the test ends.
 func listening(t *testing.T) (*net.TCPListener, *sockopt.Acceptor) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,7 +26,7 @@
 	return l.(*net.TCPListener), a
 }
 
-// arrive connects to a listener and sends a byte.
+// arrive connects to a listener, sends a byte and returns the connection.
 func arrive(t *testing.T, l net.Listener) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -49,7 +49,7 @@
 	}
 	eventually(t, "nothing read", func() bool { return s.ReadNow(make([]byte, 8)) == 1 })
 	if n := s.ReadNow(make([]byte, 8)); n != 0 {
-		t.Errorf("read %d bytes more", n)
+		t.Errorf("second ReadNow returned %d bytes, want 0", n)
 	}
 	if _, err := io.WriteString(s, "answer"); err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 	}
 	defer served.Close()
 	if _, ok := served.(*net.TCPConn); !ok {
-		t.Errorf("a %T", served)
+		t.Errorf("got a %T, want a *net.TCPConn", served)
 	}
 	if _, err := io.WriteString(served, "x"); err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 	}
 	wait.Wait()
 	if failed == nil {
-		t.Error("accepted")
+		t.Error("Accept returned a connection after Close")
 	}
 }
 
@@ -127,6 +127,6 @@
 		connected++
 	}
 	if connected == 0 || connected == callers {
-		t.Errorf("%d of %d connected", connected, callers)
+		t.Errorf("%d of %d callers connected, want some but not all", connected, callers)
 	}
 }
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -1,4 +1,5 @@
-// Package sockopt does with sockets what the standard library does not offer.
+// Package sockopt provides socket options and non-blocking operations on TCP connections that
+// the standard library does not offer.
 package sockopt
 
 import (
@@ -11,8 +12,8 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT of Linux's tcp.h.
 const tcpUserTimeout = 0x12
 
-// UserTimeout returns a function for net.Dialer's Control that makes the
-// kernel give a connection up after data has gone unacknowledged for d.
+// UserTimeout returns a value for net.Dialer.Control that makes the kernel abort a connection
+// once sent data has been unacknowledged for d.
 func UserTimeout(d time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failed error
@@ -26,8 +27,8 @@
 	}
 }
 
-// Backlog bounds how many connections the kernel keeps for a TCP listener that were not
-// accepted yet. It drops the opening packets of others.
+// Backlog sets the maximum number of connections in a TCP listener's accept queue. While it is
+// full, the kernel drops SYN packets.
 func Backlog(l *net.TCPListener, most int) error {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -40,24 +41,24 @@
 	return failed
 }
 
-// Quiet reports whether a TCP connection is open and nothing has arrived on it
-// that was not read. Another goroutine may wait in Read meanwhile. For other
-// connections, of which that cannot be told, it returns true.
+// Quiet reports whether a TCP connection is open and has no unread input. Another goroutine may
+// be blocked in Read meanwhile. For connections that are not TCP it returns true.
 func Quiet(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// Ended reports whether a TCP connection was ended by the far side and all that had
-// arrived before was read. Another goroutine may wait in Read meanwhile. For other
-// connections, of which that cannot be told, it returns false.
+// Ended reports whether the remote side of a TCP connection has closed it and all input has been
+// read. Another goroutine may be blocked in Read meanwhile. For connections that are not TCP it
+// returns false.
 func Ended(c net.Conn) bool {
 	n, err := peek(c)
 	return n <= 0 && !errors.Is(err, syscall.EAGAIN)
 }
 
-// ReadNow reads what has arrived on a TCP connection, without waiting for more. It returns 0
-// where nothing has, where the far side ended it, and for other connections.
+// ReadNow reads what has arrived on a TCP connection, without blocking, and returns the number
+// of bytes. It returns 0 if nothing has arrived, if the remote side has closed the connection,
+// and for connections that are not TCP.
 func ReadNow(c net.Conn, b []byte) int {
 	n := 0
 	if err := onSocket(c, func(fd int) { n, _ = syscall.Read(fd, b) }); err != nil {
@@ -66,8 +67,8 @@
 	return max(n, 0)
 }
 
-// onSocket calls f with the socket of a TCP connection, unless it is closed. It does not wait
-// for a reader, and does nothing for other connections.
+// onSocket calls f with the file descriptor of a TCP connection, unless it is closed. For
+// connections that are not TCP it returns EAGAIN.
 func onSocket(c net.Conn, f func(fd int)) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -77,13 +78,14 @@
 	if err != nil {
 		return err
 	}
-	// Control, unlike Read, does not wait for a reader.
+	// RawConn.Control, unlike RawConn.Read, does not wait until another goroutine's Read of the
+	// connection returns.
 	return raw.Control(func(fd uintptr) { f(int(fd)) })
 }
 
-// peek looks for a byte that has arrived on a TCP connection. It returns EAGAIN where
-// there is none, or for a connection of which that cannot be told, and neither a byte
-// nor an error where the far side ended it.
+// peek checks for unread input on a TCP connection. It returns 1 if there is some, 0 and no error
+// if the remote side has closed the connection, and EAGAIN if there is none or the connection is
+// not TCP.
 func peek(c net.Conn) (int, error) {
 	n := 0
 	var failed error
--- a/internal/sockopt/sockopt_test.go
+++ b/internal/sockopt/sockopt_test.go
@@ -32,7 +32,7 @@
 	return a, b
 }
 
-// eventually waits until ok returns true.
+// eventually waits until ok returns true, and fails the test with the message what otherwise.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 500 {
@@ -46,22 +46,22 @@
 
 func TestQuiet(t *testing.T) {
 	cases := map[string]func(other net.Conn) error{
-		"bytes that were not read": func(other net.Conn) error {
+		"unread input": func(other net.Conn) error {
 			_, err := other.Write([]byte("x"))
 			return err
 		},
-		"the other end closed": func(other net.Conn) error { return other.Close() },
+		"closed by the remote side": func(other net.Conn) error { return other.Close() },
 	}
 	for name, disturb := range cases {
 		t.Run(name, func(t *testing.T) {
 			a, b := pair(t)
 			if !sockopt.Quiet(a) {
-				t.Fatal("a new connection is not quiet")
+				t.Fatal("Quiet is false for a new connection")
 			}
 			if err := disturb(b); err != nil {
 				t.Fatal(err)
 			}
-			eventually(t, "still quiet", func() bool { return !sockopt.Quiet(a) })
+			eventually(t, "Quiet is still true", func() bool { return !sockopt.Quiet(a) })
 		})
 	}
 }
@@ -72,7 +72,7 @@
 	wait.Go(func() { _, _ = a.Read(make([]byte, 1)) })
 	time.Sleep(20 * time.Millisecond)
 	if !sockopt.Quiet(a) {
-		t.Error("a connection that waits for bytes is not quiet")
+		t.Error("Quiet is false for a connection with a blocked reader")
 	}
 	if err := b.Close(); err != nil {
 		t.Error(err)
@@ -83,7 +83,7 @@
 func TestEnded(t *testing.T) {
 	a, b := pair(t)
 	if sockopt.Ended(b) {
-		t.Error("an open connection has ended")
+		t.Error("Ended is true for an open connection")
 	}
 	if _, err := a.Write([]byte("xy")); err != nil {
 		t.Fatal(err)
@@ -94,10 +94,10 @@
 		t.Fatal(err)
 	}
 	if sockopt.Ended(b) {
-		t.Error("a connection has ended though a byte is left to read")
+		t.Error("Ended is true for a connection with an unread byte")
 	}
 	if _, err := b.Read(one); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the end", func() bool { return sockopt.Ended(b) })
+	eventually(t, "Ended is still false after the remote side closed the connection", func() bool { return sockopt.Ended(b) })
 }
