--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -25,9 +25,9 @@
 	g.loop.Post(func(s *balance.State, now time.Time) {
 		switch m := m.(type) {
 		case message.Ping:
-			g.send(g.roster.Take(now, m))
+			g.send(g.roster.Receive(now, m))
 			g.catchUp(now, from, m.Revisions)
-			g.compareSuspects(now, from, m.Quarantine)
+			g.compareSuspects(now, from, m.QuarantineDigest)
 			g.confirmedBy(now, m)
 			return
 		case message.Status:
@@ -47,7 +47,7 @@
 		case message.Quarantine:
 			g.heardSuspects(now, from, m)
 		}
-		g.roster.Heard(now, from.ID)
+		g.roster.NoteContact(now, from.ID)
 	})
 }
 
@@ -71,7 +71,7 @@
 func (g *Gateway) heardLoads(s *balance.State, now time.Time, from message.RouterID, m message.Loads) {
 	zone := g.roster.Zone(from)
 	if zone != g.known.Zone && now.Sub(g.sums[zone]) < sumAge {
-		for _, l := range m.Added {
+		for _, l := range m.Deltas {
 			s.AddPeerLoad(now, sumName(zone), l.Target, loadOf(l))
 		}
 		return
@@ -88,16 +88,16 @@
 	r := view.Report{
 		Loads:       make(map[string]view.Load, len(m.Loads)),
 		Usage:       make(map[string]view.Usage, len(m.Usage)),
-		SharedParts: make(map[string][]string, len(m.Kept)),
+		SharedParts: make(map[string][]string, len(m.SharedParts)),
 	}
 	for _, l := range m.Loads {
 		r.Loads[l.Target] = loadOf(l)
 	}
-	for _, k := range m.Kept {
+	for _, k := range m.SharedParts {
 		r.SharedParts[k.Target] = k.Parts
 	}
 	for _, u := range m.Usage {
-		r.Usage[u.Organisation] = view.Usage{Demand: u.Asked, Started: u.Begun, Waiting: u.Waiting}
+		r.Usage[u.Organisation] = view.Usage{Demand: u.Demand, Started: u.Started, Waiting: u.Waiting}
 	}
 	return r
 }
@@ -112,14 +112,14 @@
 }
 
 func loadOf(l message.TargetLoad) view.Load {
-	return view.Load{PendingTokens: l.Unread, Running: l.Running, MemoryTokens: l.Memory}
+	return view.Load{PendingTokens: l.PendingTokens, Running: l.Running, MemoryTokens: l.MemoryTokens}
 }
 
 func (g *Gateway) takeCopy(s *balance.State, now time.Time, from member.Member, m message.Copy) {
 	if len(m.Config) > 0 {
 		g.setConfig(s, m.ConfigRevision, m.Config, string(from.ID))
 	}
-	changed := g.catalog.Take(now, m)
+	changed := g.catalog.Merge(now, m)
 	g.targetsChanged(s, now, changed, string(from.ID))
 	g.confirm(now, string(from.ID))
 }
@@ -152,7 +152,7 @@
 
 // logNotTaken logs a configuration that is another than the one in force and not newer.
 func (g *Gateway) logNotTaken(at int64, value []byte, from string) {
-	if g.catalog.Differs(value) {
+	if g.catalog.ConfigDiffers(value) {
 		g.Log.Info("configuration not taken", "era", revision.Era(at), "revision", revision.Store(at),
 			"version_in_force", g.catalog.Table().Version(), "bytes", len(value), "from", from)
 	}
@@ -174,7 +174,7 @@
 // ChangeTargets takes over changes to the store's list of targets.
 func (g *Gateway) ChangeTargets(at int64, changes []catalog.Change) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
-		g.catalog.Apply(now, at, changes)
+		g.catalog.ApplyTargets(now, at, changes)
 		g.targetsChanged(s, now, len(changes) > 0, fromStore)
 	})
 }
@@ -193,7 +193,7 @@
 			leaving++
 		}
 	}
-	at := g.catalog.Revision()
+	at := g.catalog.TargetsRevision()
 	g.Log.Info("targets known", "era", revision.Era(at), "revision", revision.Store(at), "targets", len(list),
 		"leaving", leaving, "lapsed", g.catalog.Lapsed(), "from", from)
 	g.logZones(now, list, from)
@@ -215,7 +215,7 @@
 
 // SetRouters takes over the store's list of routers.
 func (g *Gateway) SetRouters(list []config.Box) {
-	g.loop.Post(func(_ *balance.State, now time.Time) { g.roster.Listed(now, list) })
+	g.loop.Post(func(_ *balance.State, now time.Time) { g.roster.SetList(now, list) })
 }
 
 const (
@@ -233,10 +233,10 @@
 // few of these, or one elsewhere if there is only one.
 func (g *Gateway) Addresses(ctx context.Context, zone string) []string {
 	var near, far []message.RouterRecord
-	g.loop.Ask(ctx, func(_ *balance.State, now time.Time) {
+	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
 		g.say()
 		for _, r := range g.roster.Live(now) {
-			if !r.Ready || r.Belief != message.Alive {
+			if !r.Ready || r.State != message.Alive {
 				continue
 			}
 			if r.Zone == zone {
