--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -154,7 +154,7 @@
 		return false, errors.Wrapf(err, "configuration of revision %d", revision)
 	}
 	revisions := message.Revisions{Config: revision, Version: t.Version()}
-	if !revisions.ConfigNewer(c.Newest()) {
+	if !revisions.ConfigNewerThan(c.Newest()) {
 		return false, nil
 	}
 	invariant.Check(t.Version() == 0 || t.Version() >= c.version(), invariant.NeverReverts)
@@ -307,7 +307,7 @@
 		}
 		t := c.target(e)
 		if fixed {
-			t.Until = e.lapsedUntil
+			t.UsableUntil = e.lapsedUntil
 		}
 		list = append(list, t)
 	}
@@ -327,7 +327,7 @@
 // target returns the target that an entry describes in its current state.
 func (c *Catalog) target(e *entry) balance.Target {
 	t := e.target
-	t.Lapsed = e.lapsedAt
+	t.LapsedAt = e.lapsedAt
 	t.ColdUntil = e.coldUntil
 	t.Drained = c.zoneDrained(t.Zone)
 	t.Leaving = t.Leaving || !e.unconfirmedUntil.IsZero()
@@ -337,11 +337,11 @@
 // Copy returns what a router lacks that has the revisions in need.
 func (c *Catalog) Copy(now time.Time, need message.NeedCopy) message.Copy {
 	out := message.Copy{Targets: c.targets.since(need.Targets), Zones: c.zones.since(need.Zones)}
-	if c.table != nil && c.Newest().ConfigNewer(message.Revisions(need)) {
+	if c.table != nil && c.Newest().ConfigNewerThan(message.Revisions(need)) {
 		out.ConfigRevision, out.Config = c.configRevision, c.config
 	}
 	if out.Targets.Revision > 0 || out.Zones.Revision > 0 {
-		out.Unstable = c.unstableFor(now)
+		out.UnstableFor = c.unstableFor(now)
 	}
 	return out
 }
@@ -349,8 +349,8 @@
 // Merge merges another router's copy of the targets and drained zones. It returns false if that
 // brought nothing new.
 func (c *Catalog) Merge(now time.Time, m message.Copy) bool {
-	if (c.targets.accepts(m.Targets) || c.zones.accepts(m.Zones)) && m.Unstable > c.unstableFor(now) {
-		c.unstableUntil = now.Add(m.Unstable)
+	if (c.targets.accepts(m.Targets) || c.zones.accepts(m.Zones)) && m.UnstableFor > c.unstableFor(now) {
+		c.unstableUntil = now.Add(m.UnstableFor)
 	}
 	drained, _ := c.zones.merge(m.Zones)
 	c.retain(now, drained)
--- a/internal/roster/detect.go
+++ b/internal/roster/detect.go
@@ -122,11 +122,11 @@
 // then the missing answers say nothing about the other one.
 func (r *Roster) suspect(now time.Time, e *entry) {
 	e.pingedAt, e.missedPings = time.Time{}, 0
-	if !e.hasRecord() || e.Belief != message.Alive || r.isolated(now) {
+	if !e.hasRecord() || e.State != message.Alive || r.isolated(now) {
 		return
 	}
 	n := e.RouterRecord
-	n.Belief = message.Suspected
+	n.State = message.Suspected
 	r.store(now, e, n)
 }
 
@@ -137,15 +137,15 @@
 	for _, id := range suspects {
 		e := r.peers[id]
 		switch {
-		case e == nil || e.Belief != message.Suspected:
+		case e == nil || e.State != message.Suspected:
 		case r.isolated(now):
 			// Missing messages during isolation say nothing about the suspected router.
-			e.Belief = message.Alive
+			e.State = message.Alive
 		case now.Sub(e.beliefSince) < suspicionTimeout || now.Sub(e.lastHeard) < suspicionTimeout && !e.lastHeard.IsZero():
 			r.suspects = append(r.suspects, id)
 		default:
 			n := e.RouterRecord
-			n.Belief = message.Gone
+			n.State = message.Gone
 			r.store(now, e, n)
 		}
 	}
@@ -171,7 +171,7 @@
 	}
 	for _, peer := range r.seeds {
 		if !r.runsAt(now, peer) {
-			out = append(out, Outgoing{Peer: peer, Ping: r.ping(message.PingAsk, false)})
+			out = append(out, Outgoing{Peer: peer, Ping: r.ping(message.PingRequest, false)})
 		}
 	}
 	return out
@@ -188,8 +188,8 @@
 func (r *Roster) pingPeer(now time.Time, e *entry) Outgoing {
 	e.pingedAt = now
 	r.unanswered = append(r.unanswered, e.ID)
-	m := r.ping(message.PingAsk, false)
-	if e.Belief != message.Alive {
+	m := r.ping(message.PingRequest, false)
+	if e.State != message.Alive {
 		// Tells the router that it is suspected or gone, so that it can refute this.
 		m.Records = []message.RouterRecord{e.RouterRecord}
 	}
--- a/internal/roster/known.go
+++ b/internal/roster/known.go
@@ -106,7 +106,7 @@
 			continue
 		}
 		all++
-		if e.hasRecord() && e.Belief == message.Alive {
+		if e.hasRecord() && e.State == message.Alive {
 			alive++
 		}
 	}
@@ -123,7 +123,7 @@
 		running, all = running+1, all+1
 	}
 	for _, e := range r.peerList {
-		if e.hasRecord() && e.Belief == message.Alive && slices.Contains(r.seeds, e.Peer) {
+		if e.hasRecord() && e.State == message.Alive && slices.Contains(r.seeds, e.Peer) {
 			running++
 		}
 	}
@@ -165,7 +165,7 @@
 	if !e.hasRecord() {
 		return e.listed && now.Sub(e.beliefSince) < listedGracePeriod
 	}
-	return e.Belief != message.Gone
+	return e.State != message.Gone
 }
 
 // hash returns a hash of a record's id, incarnation and version.
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -81,7 +81,7 @@
 	message.RouterRecord
 	listed bool
 	// lastHeard is when its last message arrived, beliefSince when the current record,
-	// with its Belief, was stored.
+	// with its State, was stored.
 	lastHeard, beliefSince time.Time
 	// pingedAt is when the outstanding ping was sent, zero if there is none. missedPings
 	// is the number of pings before that one that timed out.
@@ -91,7 +91,7 @@
 
 // digestPart returns the entry's contribution to the digest.
 func (e *entry) digestPart() uint64 {
-	if !e.hasRecord() || e.Belief == message.Gone {
+	if !e.hasRecord() || e.State == message.Gone {
 		return 0
 	}
 	return hash(e.RouterRecord)
@@ -250,11 +250,11 @@
 		r.merge(now, record)
 	}
 	var out []Outgoing
-	if m.Kind == message.PingAsk {
+	if m.Kind == message.PingRequest {
 		out = append(out, r.answer(e, m)...)
 	}
 	if r.startSync(now, e, m.Digest, firstContact) {
-		out = append(out, Outgoing{Peer: e.Peer, Ping: r.ping(message.PingAsk, true)})
+		out = append(out, Outgoing{Peer: e.Peer, Ping: r.ping(message.PingRequest, true)})
 	}
 	return out
 }
@@ -296,7 +296,7 @@
 			}
 		}
 	}
-	out := []Outgoing{{Peer: m.From.Peer, Ping: r.ping(message.PingAnswer, false)}}
+	out := []Outgoing{{Peer: m.From.Peer, Ping: r.ping(message.PingReply, false)}}
 	for i, part := range chunks(all) {
 		if i > 0 {
 			out = append(out, Outgoing{Peer: m.From.Peer, Ping: r.ping(message.PingNotice, false)})
@@ -335,7 +335,7 @@
 		r.refute(n)
 		return
 	}
-	if r.peers[n.ID] == nil && n.Belief == message.Gone {
+	if r.peers[n.ID] == nil && n.State == message.Gone {
 		return
 	}
 	e := r.entry(now, n.ID)
@@ -352,7 +352,7 @@
 	e.beliefSince = now
 	r.lastUpdate = now
 	r.digest ^= e.digestPart()
-	if n.Belief == message.Suspected {
+	if n.State == message.Suspected {
 		r.suspects = append(r.suspects, n.ID)
 	}
 	r.queueUpdate(n.ID)
@@ -360,7 +360,7 @@
 
 // noteChange keeps a record for Changes if its belief or incarnation is a new one.
 func (r *Roster) noteChange(e *entry, n message.RouterRecord) {
-	if !e.hasRecord() || e.Incarnation != n.Incarnation || e.Belief != n.Belief {
+	if !e.hasRecord() || e.Incarnation != n.Incarnation || e.State != n.State {
 		r.changes = append(r.changes, n)
 	}
 }
@@ -382,7 +382,7 @@
 		next.Incarnation = n.Incarnation + 1
 	case n.Incarnation < next.Incarnation, n.Version < next.Version:
 		return
-	case n.Version == next.Version && n.Belief == message.Alive:
+	case n.Version == next.Version && n.State == message.Alive:
 		return
 	default:
 		next.Version = n.Version + 1
@@ -404,7 +404,7 @@
 	if c := cmp.Compare(a.Version, b.Version); c != 0 {
 		return c > 0
 	}
-	return a.Belief > b.Belief
+	return a.State > b.State
 }
 
 // queueUpdate marks a router's record to be forwarded with the next Gossip.
@@ -418,7 +418,7 @@
 func (r *Roster) ping(kind message.PingKind, all bool) message.Ping {
 	return message.Ping{
 		From: r.self, Kind: kind, Revisions: r.revisions, Digest: r.digest, WantAll: all,
-		Quarantine: r.quarantineDigest,
+		QuarantineDigest: r.quarantineDigest,
 	}
 }
 
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -254,7 +254,7 @@
 			for _, r := range suspended {
 				for _, change := range r.Changes() {
 					running := !slices.ContainsFunc(suspended, func(s *router) bool { return s.name == string(change.ID) })
-					Expect(running && change.Belief == message.Gone).To(BeFalse(), "%s considers %s %s after %v", r.name, change.ID, change.Belief, length)
+					Expect(running && change.State == message.Gone).To(BeFalse(), "%s considers %s %s after %v", r.name, change.ID, change.State, length)
 				}
 			}
 			Expect(f.timeToConverge(10*time.Second)).To(BeNumerically("<", 4*time.Second), "after %v", length)
@@ -391,22 +391,22 @@
 		now := time.Unix(1, 0)
 		r := roster.New(now, message.RouterRecord{ID: "a", Peer: "a:1", Incarnation: 1}, nil, rand.New(rand.NewPCG(1, 1)))
 		b := message.RouterRecord{ID: "b", Peer: "b:1", Incarnation: 1, Version: 1}
-		beliefs := func() []message.Belief {
-			var list []message.Belief
+		beliefs := func() []message.RouterState {
+			var list []message.RouterState
 			for _, c := range r.Changes() {
-				list = append(list, c.Belief)
+				list = append(list, c.State)
 			}
 			return list
 		}
 		r.Receive(now, message.Ping{From: b})
-		Expect(beliefs()).To(Equal([]message.Belief{message.Alive}))
+		Expect(beliefs()).To(Equal([]message.RouterState{message.Alive}))
 		b.Version = 2
 		r.Receive(now, message.Ping{From: b})
 		Expect(beliefs()).To(BeEmpty())
 		other := message.RouterRecord{ID: "c", Peer: "c:1", Incarnation: 1, Version: 1}
-		b.Belief = message.Gone
+		b.State = message.Gone
 		r.Receive(now, message.Ping{From: other, Records: []message.RouterRecord{b}})
-		Expect(beliefs()).To(Equal([]message.Belief{message.Alive, message.Gone}))
+		Expect(beliefs()).To(Equal([]message.RouterState{message.Alive, message.Gone}))
 	})
 
 	It("pings the seeds until it knows another router, and the listed routers", func() {
