--- a/internal/roster/detect.go
+++ b/internal/roster/detect.go
@@ -141,7 +141,7 @@
 		case r.isolated(now):
 			// Missing messages during isolation say nothing about the suspected router.
 			e.State = message.Alive
-		case now.Sub(e.beliefSince) < suspicionTimeout || now.Sub(e.lastHeard) < suspicionTimeout && !e.lastHeard.IsZero():
+		case now.Sub(e.stateSince) < suspicionTimeout || now.Sub(e.lastHeard) < suspicionTimeout && !e.lastHeard.IsZero():
 			r.suspects = append(r.suspects, id)
 		default:
 			n := e.RouterRecord
@@ -240,7 +240,7 @@
 // forget removes routers that have been gone for goneTTL and are not listed.
 func (r *Roster) forget(now time.Time) {
 	r.peerList = slices.DeleteFunc(r.peerList, func(e *entry) bool {
-		old := !e.listed && !r.countsAsRunning(now, e) && now.Sub(e.beliefSince) >= goneTTL
+		old := !e.listed && !r.countsAsRunning(now, e) && now.Sub(e.stateSince) >= goneTTL
 		if old {
 			delete(r.peers, e.ID)
 		}
--- a/internal/roster/known.go
+++ b/internal/roster/known.go
@@ -163,7 +163,7 @@
 		return true
 	}
 	if !e.hasRecord() {
-		return e.listed && now.Sub(e.beliefSince) < listedGracePeriod
+		return e.listed && now.Sub(e.stateSince) < listedGracePeriod
 	}
 	return e.State != message.Gone
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -80,9 +80,9 @@
 type entry struct {
 	message.RouterRecord
 	listed bool
-	// lastHeard is when its last message arrived, beliefSince when the current record,
+	// lastHeard is when its last message arrived, stateSince when the current record,
 	// with its State, was stored.
-	lastHeard, beliefSince time.Time
+	lastHeard, stateSince time.Time
 	// pingedAt is when the outstanding ping was sent, zero if there is none. missedPings
 	// is the number of pings before that one that timed out.
 	pingedAt    time.Time
@@ -127,7 +127,7 @@
 	lastUpdate time.Time
 	// lastSync is when a full sync was last requested.
 	lastSync time.Time
-	// changes holds the records that changed a belief since the last call of Changes.
+	// changes holds the records that changed a state since the last call of Changes.
 	changes []message.RouterRecord
 	// listReceived is set once the platform's list of routers has arrived.
 	listReceived bool
@@ -209,7 +209,7 @@
 func (r *Roster) entry(now time.Time, id message.RouterID) *entry {
 	e := r.peers[id]
 	if e == nil {
-		e = &entry{beliefSince: now}
+		e = &entry{stateSince: now}
 		e.ID = id
 		r.peers[id] = e
 		r.peerList = append(r.peerList, e)
@@ -271,7 +271,7 @@
 	r.unanswered = nil
 	for _, id := range r.suspects {
 		if e := r.peers[id]; e != nil {
-			e.beliefSince = now
+			e.stateSince = now
 		}
 	}
 }
@@ -349,7 +349,7 @@
 	r.noteChange(e, n)
 	r.digest ^= e.digestPart()
 	e.RouterRecord = n
-	e.beliefSince = now
+	e.stateSince = now
 	r.lastUpdate = now
 	r.digest ^= e.digestPart()
 	if n.State == message.Suspected {
@@ -358,14 +358,14 @@
 	r.queueUpdate(n.ID)
 }
 
-// noteChange keeps a record for Changes if its belief or incarnation is a new one.
+// noteChange keeps a record for Changes if its state or incarnation is a new one.
 func (r *Roster) noteChange(e *entry, n message.RouterRecord) {
 	if !e.hasRecord() || e.Incarnation != n.Incarnation || e.State != n.State {
 		r.changes = append(r.changes, n)
 	}
 }
 
-// Changes returns the records that changed the belief about a router since the last call: it
+// Changes returns the records that changed the state of a router since the last call: it
 // was discovered, has restarted, is suspected, has refuted a suspicion, or is gone.
 func (r *Roster) Changes() []message.RouterRecord {
 	list := r.changes
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -387,11 +387,11 @@
 })
 
 var _ = Describe("A roster", func() {
-	It("returns each change of a belief once", func() {
+	It("returns each change of a state once", func() {
 		now := time.Unix(1, 0)
 		r := roster.New(now, message.RouterRecord{ID: "a", Peer: "a:1", Incarnation: 1}, nil, rand.New(rand.NewPCG(1, 1)))
 		b := message.RouterRecord{ID: "b", Peer: "b:1", Incarnation: 1, Version: 1}
-		beliefs := func() []message.RouterState {
+		states := func() []message.RouterState {
 			var list []message.RouterState
 			for _, c := range r.Changes() {
 				list = append(list, c.State)
@@ -399,14 +399,14 @@
 			return list
 		}
 		r.Receive(now, message.Ping{From: b})
-		Expect(beliefs()).To(Equal([]message.RouterState{message.Alive}))
+		Expect(states()).To(Equal([]message.RouterState{message.Alive}))
 		b.Version = 2
 		r.Receive(now, message.Ping{From: b})
-		Expect(beliefs()).To(BeEmpty())
+		Expect(states()).To(BeEmpty())
 		other := message.RouterRecord{ID: "c", Peer: "c:1", Incarnation: 1, Version: 1}
 		b.State = message.Gone
 		r.Receive(now, message.Ping{From: other, Records: []message.RouterRecord{b}})
-		Expect(beliefs()).To(Equal([]message.RouterState{message.Alive, message.Gone}))
+		Expect(states()).To(Equal([]message.RouterState{message.Alive, message.Gone}))
 	})
 
 	It("pings the seeds until it knows another router, and the listed routers", func() {
