--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -49,7 +49,7 @@
 	// born is the start time of the newest known incarnation, in Unix milliseconds.
 	born int64
 	// lapsedAt is when the entry disappeared while the store was in trouble, zero while the
-	// store holds it. A lapsedAt entry is dropped at lapsedUntil.
+	// store holds it. A lapsed entry is dropped at lapsedUntil.
 	lapsedAt, lapsedUntil time.Time
 	// coldUntil is when the target stops being cold.
 	coldUntil time.Time
@@ -131,7 +131,7 @@
 // now may belong to healthy targets.
 func (c *Catalog) MarkUnstable(now time.Time) { c.unstableUntil = now.Add(c.maxLapse) }
 
-// unstableFor returns the rest of the unstableFor period, 0 if there is none.
+// unstableFor returns the rest of the unstable period, 0 if there is none.
 func (c *Catalog) unstableFor(now time.Time) time.Duration { return max(c.unstableUntil.Sub(now), 0) }
 
 // version returns the operators' version number in the configuration in force, 0 if it has none.
--- a/internal/catalog/replica.go
+++ b/internal/catalog/replica.go
@@ -37,7 +37,7 @@
 	return replica{objects: map[string]message.StoredObject{}, gone: map[string]int64{}}
 }
 
-// noteStoreList must be called before a complete list from the store is stored. The noteStoreList such
+// noteStoreList must be called before a complete list from the store is stored. The first such
 // list doesn't tell which objects were removed before it, so its revision counts as a change, and
 // routers with an older list request this one. Otherwise, if all routers that watch the store
 // were killed when an object was removed, the others would never learn of the removal.
--- a/internal/catalog/zones.go
+++ b/internal/catalog/zones.go
@@ -41,7 +41,7 @@
 	return slices.Compact(list)
 }
 
-// zoneDrained reports whether a zone is zoneDrained.
+// zoneDrained reports whether a zone is drained.
 func (c *Catalog) zoneDrained(zone string) bool {
 	_, listed := c.zones.objects[zone]
 	_, held := c.retainedZones[zone]
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -98,7 +98,7 @@
 }
 
 // hasRecord reports whether a record of the router has arrived. Without one, only its entry
-// on the platform's list is hasRecord.
+// on the platform's list is known.
 func (e *entry) hasRecord() bool { return e.Incarnation > 0 }
 
 // Roster is one router's view of the fleet's routers. Use New to make one.
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -180,8 +180,8 @@
 	return n
 }
 
-// timeToConverge runs the simulation until there are no disagreements, at most for limit, and returns how
-// long that took.
+// timeToConverge runs the simulation until there are no disagreements, at most for limit, and
+// returns how long that took.
 func (f *fleet) timeToConverge(limit time.Duration) time.Duration {
 	began := f.now
 	for f.now-began < limit && f.disagreements() > 0 {
