--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -84,7 +84,7 @@
 func (x *inflight) sendFailed(ctx context.Context, to balance.Target, err error) *failure {
 	if errors.Is(err, httptarget.ErrNotSent) {
 		f := &failure{reason: ReasonUnreachable, result: balance.Unreachable, cause: err}
-		if errors.Is(err, httptarget.ErrNobodyListens) {
+		if errors.Is(err, httptarget.ErrConnectionRefused) {
 			x.suspects.RecordExit(to)
 		}
 		if ctx.Err() != nil {
@@ -335,7 +335,8 @@
 // eventTerminator ends an event whose lines end in LF.
 var eventTerminator = []byte("\n\n")
 
-// eventEndOffset returns the offset just after the first whole event in b, or -1 if there is none.
+// eventEndOffset returns the offset just after the first whole event in b, or -1 if there is
+// none.
 func eventEndOffset(b []byte) int {
 	lf := bytes.Index(b, eventTerminator)
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -237,7 +237,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			g.transport.Sweep(clock.Now())
+			g.transport.CloseExpired(clock.Now())
 		}
 	}
 }
--- a/internal/httptarget/ended_test.go
+++ b/internal/httptarget/ended_test.go
@@ -84,13 +84,13 @@
 		t.Fatal(err)
 	}
 	_, err = httptarget.New(g).Send(t.Context(), address, httptarget.Request{Method: http.MethodGet})
-	if !errors.Is(err, httptarget.ErrNobodyListens) || !errors.Is(err, httptarget.ErrNotSent) {
+	if !errors.Is(err, httptarget.ErrConnectionRefused) || !errors.Is(err, httptarget.ErrNotSent) {
 		t.Errorf("refused: %v", err)
 	}
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err = httptarget.New(g).Send(cancelled, address, httptarget.Request{Method: http.MethodGet})
-	if errors.Is(err, httptarget.ErrNobodyListens) || !errors.Is(err, httptarget.ErrNotSent) {
+	if errors.Is(err, httptarget.ErrConnectionRefused) || !errors.Is(err, httptarget.ErrNotSent) {
 		t.Errorf("cancelled: %v", err)
 	}
 }
--- a/internal/httptarget/httptarget.go
+++ b/internal/httptarget/httptarget.go
@@ -26,9 +26,9 @@
 var (
 	// ErrNotSent means that no byte of the request can have reached the target.
 	ErrNotSent = errors.New("request not sent")
-	// ErrNobodyListens means that the target refused the connection, usually because its
+	// ErrConnectionRefused means that the target refused the connection, usually because its
 	// process has exited. It wraps ErrNotSent.
-	ErrNobodyListens = errors.WithMessage(ErrNotSent, "connection refused")
+	ErrConnectionRefused = errors.WithMessage(ErrNotSent, "connection refused")
 	// ErrBroken means that the target may have run the request, but its answer is
 	// incomplete or invalid.
 	ErrBroken = errors.New("connection to target broke")
@@ -77,11 +77,13 @@
 
 // Stats counts connections and unexpected answers since the start.
 type Stats struct {
-	Dialled    int64 `json:"dialled"`
-	DialFailed int64 `json:"dial_failed"`
-	Reused     int64 `json:"reused"`
-	Stray      int64 `json:"stray_answers"`
-	Dirty      int64 `json:"unexpected_bytes"`
+	Dialled      int64 `json:"dialled"`
+	DialFailed   int64 `json:"dial_failed"`
+	Reused       int64 `json:"reused"`
+	StrayAnswers int64 `json:"stray_answers"`
+	// UnexpectedBytes counts unused connections that were found to have unread bytes, or to
+	// have been closed by the target.
+	UnexpectedBytes int64 `json:"unexpected_bytes"`
 }
 
 // Transport holds the connections to targets. Use New to make one. It is safe for concurrent
@@ -115,7 +117,7 @@
 func (t *Transport) Stats() Stats {
 	return Stats{
 		Dialled: t.dialled.Load(), DialFailed: t.dialFailed.Load(), Reused: t.reused.Load(),
-		Stray: t.strayAnswers.Load(), Dirty: t.unexpectedBytes.Load(),
+		StrayAnswers: t.strayAnswers.Load(), UnexpectedBytes: t.unexpectedBytes.Load(),
 	}
 }
 
@@ -165,7 +167,7 @@
 // connectError returns the exported error for a failure to connect.
 func connectError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return ErrNobodyListens
+		return ErrConnectionRefused
 	}
 	return ErrNotSent
 }
@@ -237,8 +239,8 @@
 	t.idle[c.endpoint] = append(t.idle[c.endpoint], c)
 }
 
-// Sweep closes expired unused connections. Call it periodically.
-func (t *Transport) Sweep(now time.Time) {
+// CloseExpired closes expired unused connections. Call it periodically.
+func (t *Transport) CloseExpired(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for e, list := range t.idle {
--- a/internal/httptarget/httptarget_test.go
+++ b/internal/httptarget/httptarget_test.go
@@ -156,7 +156,7 @@
 		})
 		Expect(r.send(address, "r0", "b")).To(Equal("own"))
 		Expect(r.send(address, "r1", "b")).To(Equal("own"))
-		Expect(r.Stats().Stray).To(Equal(int64(1)))
+		Expect(r.Stats().StrayAnswers).To(Equal(int64(1)))
 	})
 
 	It("does not reuse a connection on which bytes follow the answer", func() {
