--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -12,8 +12,8 @@
 	"github.com/stepcroft/stepcroft/internal/scenario"
 )
 
-// SampleTime is the interval between two calls of Sample.
-const SampleTime = 20 * time.Millisecond
+// SampleInterval is the interval between two calls of Sample.
+const SampleInterval = 20 * time.Millisecond
 
 // Ledger holds the requests and accounts of one load test. Use New to make one. It is safe
 // for concurrent use.
@@ -185,9 +185,9 @@
 	}
 }
 
-// Doubled returns the number of requests that must not be repeated but were started more
+// RunTwice returns the number of requests that must not be repeated but were started more
 // than once.
-func (l *Ledger) Doubled() int {
+func (l *Ledger) RunTwice() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -199,7 +199,7 @@
 	return n
 }
 
-// Sample appends a sample to each account. Call it every SampleTime.
+// Sample appends a sample to each account. Call it every SampleInterval.
 func (l *Ledger) Sample() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -232,11 +232,11 @@
 	To   float64 `json:"to"`
 }
 
-// GapSeriesStep is the time between two entries of a series of gaps, in seconds.
-const GapSeriesStep = 0.5
+// GapSeriesStepSeconds is the time between two entries of a series of gaps, in seconds.
+const GapSeriesStepSeconds = 0.5
 
 // Gaps returns the largest gap over all pairs of organisations and all periods, and a series
-// with the largest gap of any pair in each step of GapSeriesStep.
+// with the largest gap of any pair in each step of GapSeriesStepSeconds.
 func (l *Ledger) Gaps() (Gap, []float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -261,7 +261,7 @@
 
 // raiseStep raises the entry of a series that covers a sample to size, if it is lower.
 func raiseStep(series []float64, sample int, size float64) []float64 {
-	i := int(secondsAt(sample) / GapSeriesStep)
+	i := int(secondsAt(sample) / GapSeriesStepSeconds)
 	for len(series) <= i {
 		series = append(series, 0)
 	}
@@ -308,11 +308,11 @@
 }
 
 // secondsAt returns the time of a sample, in seconds since the start.
-func secondsAt(sample int) float64 { return float64(sample) * SampleTime.Seconds() }
+func secondsAt(sample int) float64 { return float64(sample) * SampleInterval.Seconds() }
 
-// Use returns the fraction of the time, over all slots, that they were busy, and the fraction
-// that they were idle while requests waited.
-func (l *Ledger) Use() (busy, idle float64) {
+// Utilisation returns the fraction of the time, over all slots, that they were busy, and the
+// fraction that they were idle while requests waited.
+func (l *Ledger) Utilisation() (busy, idle float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	slots := 0
@@ -325,8 +325,8 @@
 	return busy / float64(slots), idle / float64(slots)
 }
 
-// Service returns the cost served to each organisation, over all pools.
-func (l *Ledger) Service() map[string]float64 {
+// ServedCost returns the cost served to each organisation, over all pools.
+func (l *Ledger) ServedCost() map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sums := map[string]float64{}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -112,7 +112,7 @@
 
 // sample reads the ledger until the run ends.
 func (r *run) sample(ctx context.Context, o Options, policy string, start time.Time) {
-	ticker := time.NewTicker(ledger.SampleTime)
+	ticker := time.NewTicker(ledger.SampleInterval)
 	defer ticker.Stop()
 	nextLine := time.Second
 	for {
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -23,15 +23,15 @@
 }
 
 func measure(l *ledger.Ledger) measured {
-	m := measured{service: l.Service()}
+	m := measured{service: l.ServedCost()}
 	m.gap, m.series = l.Gaps()
-	m.busy, m.idle = l.Use()
+	m.busy, m.idle = l.Utilisation()
 	return m
 }
 
 // count counts broken promises.
 func (m *measured) count(l *ledger.Ledger) {
-	m.doubled, m.notRunButRan = l.Doubled(), l.NotRunButRan()
+	m.doubled, m.notRunButRan = l.RunTwice(), l.NotRunButRan()
 }
 
 // tally counts what callers got.
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -30,7 +30,7 @@
 	for i, policy := range c.Policies {
 		points := make(plotter.XYs, len(policy.GapSeries))
 		for j, gap := range policy.GapSeries {
-			points[j] = plotter.XY{X: float64(j+1) * ledger.GapSeriesStep, Y: gap}
+			points[j] = plotter.XY{X: float64(j+1) * ledger.GapSeriesStepSeconds, Y: gap}
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
