--- a/internal/adapter/httpcaller/answer.go
+++ b/internal/adapter/httpcaller/answer.go
@@ -42,7 +42,7 @@
 	if f.after > 0 {
 		return f.after
 	}
-	return f.reason.RetryAfter()
+	return f.reason.RetryAfterSeconds()
 }
 
 // refuse writes a refusal as a whole answer. An outcome not said is not-run.
@@ -74,7 +74,7 @@
 	case errors.Is(cause, errCancelled):
 		return request.ReasonCancelled
 	case errors.Is(cause, errGone):
-		return request.ReasonDisconnected
+		return request.ReasonCallerGone
 	default:
 		return request.ReasonDeadline
 	}
--- a/internal/adapter/httpcaller/chat.go
+++ b/internal/adapter/httpcaller/chat.go
@@ -81,9 +81,9 @@
 		handler: h, job: j, writer: w,
 		sink: newSink(w, c, j.id, t.id != nil),
 		body: engineBody, pool: pool, engineRank: o.Priority,
-		ticket: request.NewTicket(request.Spec{
+		ticket: request.NewTicket(request.TicketSpec{
 			ID: j.id, Organisation: o.Name, Pool: pool.Name, Priority: t.priority,
-			Deadline: t.deadline, Arrived: now, Hint: t.hint,
+			Deadline: t.deadline, Arrived: now, CostHint: t.hint,
 		}),
 	}
 	h.close(j, x.run())
@@ -112,7 +112,7 @@
 	for {
 		d := x.await()
 		if d.Refused != "" {
-			return x.refuse(d.Refused, "", d.After)
+			return x.refuse(d.Refused, "", d.RetryAfterSeconds)
 		}
 		retry, record := x.attempt(d)
 		if retry == "" {
@@ -149,13 +149,13 @@
 // or the record of the request's end.
 func (x *exchange) attempt(d request.Decision) (request.Reason, request.Record) {
 	if x.job.ctx.Err() != nil {
-		x.handler.Core.Finish(x.ticket, request.End{})
+		x.handler.Core.Finish(x.ticket, request.RunEnd{})
 		return "", x.refuse(reasonOf(x.job.ctx), "", 0)
 	}
 	invariant.Check(!x.seen || x.job.terms.repeatable, invariant.RunsOnce)
 	x.events = 0
 	x.sink.restart()
-	x.ticket.Served.Store(0)
+	x.ticket.ServedCost.Store(0)
 	err := x.send(d.Address)
 	for try := 0; try < maxResumes && x.resumable(err); try++ {
 		x.handler.Metrics.Retried(request.RetryResume)
@@ -208,7 +208,7 @@
 		x.seen = true
 	}
 	if x.job.ctx.Err() != nil {
-		x.handler.Core.Finish(x.ticket, request.End{Cost: x.cost(), Partial: x.seen})
+		x.handler.Core.Finish(x.ticket, request.RunEnd{Cost: x.cost(), Partial: x.seen})
 		return "", x.refuse(reasonOf(x.job.ctx), "", 0)
 	}
 	reason := retryReason(err)
@@ -216,7 +216,7 @@
 	if again && x.handler.Budget.Spend() {
 		return reason, request.Record{}
 	}
-	x.handler.Core.Finish(x.ticket, request.End{Cost: x.cost(), Partial: x.seen, Failed: true})
+	x.handler.Core.Finish(x.ticket, request.RunEnd{Cost: x.cost(), Partial: x.seen, Failed: true})
 	switch {
 	case again:
 		return "", x.refuse(request.ReasonRetryBudget, err.Error(), 0)
@@ -239,7 +239,7 @@
 }
 
 // cost returns what has been streamed so far, in cost units.
-func (x *exchange) cost() float64 { return float64(x.ticket.Served.Load()) }
+func (x *exchange) cost() float64 { return float64(x.ticket.ServedCost.Load()) }
 
 // pass hands the engine's events on until the answer ends.
 func (x *exchange) pass(stream port.Stream) error {
@@ -252,7 +252,7 @@
 			return err
 		}
 		x.events++
-		x.ticket.Served.Add(1)
+		x.ticket.ServedCost.Add(1)
 		if err := x.sink.event(data, stream.More()); err != nil {
 			return err
 		}
@@ -269,7 +269,7 @@
 	if u := x.sink.used(); u.Completion > 0 {
 		cost = float64(u.Prompt)*x.pool.PromptCost + float64(u.Completion)
 	}
-	x.handler.Core.Finish(x.ticket, request.End{Cost: cost})
+	x.handler.Core.Finish(x.ticket, request.RunEnd{Cost: cost})
 	return x.sink.end()
 }
 
--- a/internal/adapter/httpcaller/headers.go
+++ b/internal/adapter/httpcaller/headers.go
@@ -101,7 +101,7 @@
 // refusalOf turns an error in reading a request into a refusal.
 func refusalOf(err error) refusal {
 	if errors.Is(err, errTooLarge) {
-		return refusal{reason: request.ReasonTooLarge, detail: err.Error()}
+		return refusal{reason: request.ReasonBodyTooLarge, detail: err.Error()}
 	}
 	return refusal{reason: request.ReasonBadRequest, detail: err.Error()}
 }
--- a/internal/adapter/httpcaller/httpcaller.go
+++ b/internal/adapter/httpcaller/httpcaller.go
@@ -45,7 +45,7 @@
 	// Retry queues a request again that is to run on another engine.
 	Retry(t *request.Ticket)
 	// Finish frees the slot of a request that ended.
-	Finish(t *request.Ticket, end request.End)
+	Finish(t *request.Ticket, end request.RunEnd)
 	// Snapshot returns the configuration in force.
 	Snapshot() config.Snapshot
 	// Members returns the routers that callers may use.
@@ -107,12 +107,12 @@
 func (h *Handler) authorized(w http.ResponseWriter, r *http.Request, next organisationHandler) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		h.refuse(w, refusal{reason: request.ReasonUnauthorized, detail: "header Authorization: want Bearer and an API key"})
+		h.refuse(w, refusal{reason: request.ReasonUnknownKey, detail: "header Authorization: want Bearer and an API key"})
 		return
 	}
 	o, ok := h.Core.Snapshot().OrganisationOfKey(key)
 	if !ok {
-		h.refuse(w, refusal{reason: request.ReasonUnauthorized, detail: "header Authorization: no organisation has this API key"})
+		h.refuse(w, refusal{reason: request.ReasonUnknownKey, detail: "header Authorization: no organisation has this API key"})
 		return
 	}
 	next(w, r, o)
--- a/internal/adapter/httpcaller/requests.go
+++ b/internal/adapter/httpcaller/requests.go
@@ -144,7 +144,7 @@
 		return nil, false
 	}
 	h.refuse(w, refusal{
-		reason: request.ReasonDuplicate, outcome: request.Unknown,
+		reason: request.ReasonDuplicateRequest, outcome: request.Unknown,
 		detail: "request " + id.String() + " was sent before, or its id was not handed out by this router",
 	})
 	return nil, false
--- a/internal/control/admit.go
+++ b/internal/control/admit.go
@@ -36,7 +36,7 @@
 		return request.ReasonUnknownModel, 0
 	}
 	if s.closed {
-		return request.ReasonLeaving, 0
+		return request.ReasonRouterLeaving, 0
 	}
 	if !now.Before(t.Deadline()) {
 		return request.ReasonDeadline, 0
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -96,7 +96,7 @@
 }
 
 func ticket(organisation, n int, now time.Time) *request.Ticket {
-	return request.NewTicket(request.Spec{
+	return request.NewTicket(request.TicketSpec{
 		ID: request.ID{Router: "r0", Number: uint64(n)}, Organisation: organisationName(organisation),
 		Pool: "p", Arrived: now, Deadline: now.Add(time.Hour),
 	})
@@ -112,7 +112,7 @@
 			for i := 0; b.Loop(); i++ {
 				t := ticket(i%z.backlogged, i, now)
 				s.Arrive(t, now)
-				s.Finish(t, request.End{Cost: 100}, now)
+				s.Finish(t, request.RunEnd{Cost: 100}, now)
 			}
 		})
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -163,7 +163,7 @@
 func (s *State) Arrive(t *request.Ticket, now time.Time) {
 	p := s.pools[t.Pool()]
 	if reason, after := s.admit(p, t, now); reason != "" {
-		s.outlet.Decide(t, request.Decision{Refused: reason, After: after})
+		s.outlet.Decide(t, request.Decision{Refused: reason, RetryAfterSeconds: after})
 		return
 	}
 	s.enqueue(p, t)
@@ -183,7 +183,7 @@
 // Retry queues a request again after its engine failed. That engine gets no
 // more requests until it reports its load again.
 func (s *State) Retry(t *request.Ticket, now time.Time) {
-	s.Finish(t, request.End{Failed: true}, now)
+	s.Finish(t, request.RunEnd{Failed: true}, now)
 	p := s.pools[t.Pool()]
 	if p == nil {
 		s.outlet.Decide(t, request.Decision{Refused: request.ReasonUnknownModel})
@@ -215,7 +215,7 @@
 }
 
 // Finish frees the slot of a request that has ended.
-func (s *State) Finish(t *request.Ticket, end request.End, now time.Time) {
+func (s *State) Finish(t *request.Ticket, end request.RunEnd, now time.Time) {
 	r := s.running[t]
 	if r == nil {
 		return
@@ -223,7 +223,7 @@
 	delete(s.running, t)
 	p := s.pools[t.Pool()]
 	p.running[t.Organisation()]--
-	p.learnCost(t.Organisation(), t.Hint(), end)
+	p.learnCost(t.Organisation(), t.CostHint(), end)
 	if !r.remote {
 		s.release(r.allocation.Slot, t.Organisation(), end, now)
 		s.dispatch(p, now)
@@ -246,7 +246,7 @@
 
 // release frees a slot of an engine that this router owns and corrects the
 // charge for it. It returns the slot's pool, or nil if the slot was not in use.
-func (s *State) release(slot uint64, organisation string, end request.End, now time.Time) *pool {
+func (s *State) release(slot uint64, organisation string, end request.RunEnd, now time.Time) *pool {
 	u, ok := s.slots.Release(slot)
 	if !ok {
 		s.counts.StaleSlots++
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -156,7 +156,7 @@
 func (f *fleet) arrive(router int, organisation string) *request.Ticket {
 	f.number++
 	id := message.RouterID(fmt.Sprintf("r%d", router))
-	t := request.NewTicket(request.Spec{
+	t := request.NewTicket(request.TicketSpec{
 		ID:           request.ID{Router: string(id), Number: f.number},
 		Organisation: organisation, Pool: "p", Arrived: f.now, Deadline: f.now.Add(time.Hour),
 	})
@@ -199,7 +199,7 @@
 func (f *fleet) finish(t *request.Ticket, cost float64) {
 	delete(f.decided, t)
 	if s := f.states[f.home[t]]; s != nil {
-		s.Finish(t, request.End{Cost: cost}, f.now)
+		s.Finish(t, request.RunEnd{Cost: cost}, f.now)
 	}
 	delete(f.home, t)
 }
@@ -264,7 +264,7 @@
 	BeforeEach(func() { f = newFleet(1, 1, "local", 1) })
 
 	// run runs a request of an organisation for the given time and ends it.
-	run := func(organisation string, took time.Duration, end request.End) {
+	run := func(organisation string, took time.Duration, end request.RunEnd) {
 		t := f.arrive(0, organisation)
 		Expect(f.decided[t]).To(HaveLen(1))
 		f.now = f.now.Add(took)
@@ -278,28 +278,28 @@
 	fill := func() []*request.Ticket { return []*request.Ticket{f.arrive(0, "o3"), f.arrive(0, "o3")} }
 
 	It("charges a request that was cut short by the time that it ran", func() {
-		run("o2", time.Second, request.End{Cost: 100})
+		run("o2", time.Second, request.RunEnd{Cost: 100})
 		for range 5 {
-			run("o0", time.Second, request.End{Cost: 100})
+			run("o0", time.Second, request.RunEnd{Cost: 100})
 		}
 		for range 10 {
-			run("o2", time.Second, request.End{Partial: true})
+			run("o2", time.Second, request.RunEnd{Partial: true})
 		}
 		busy := fill()
 		first, second := f.arrive(0, "o2"), f.arrive(0, "o0")
-		f.states["r0"].Finish(busy[0], request.End{Cost: 1}, f.now)
+		f.states["r0"].Finish(busy[0], request.RunEnd{Cost: 1}, f.now)
 		Expect(f.decided[second]).To(HaveLen(1))
 		Expect(f.decided[first]).To(BeEmpty())
 	})
 
 	It("refuses a queued request that can no longer end in time when its turn comes", func() {
 		for range 20 {
-			run("o0", 10*time.Second, request.End{Cost: 100})
+			run("o0", 10*time.Second, request.RunEnd{Cost: 100})
 		}
 		busy := fill()
 		waits := func(given, left time.Duration) *request.Ticket {
 			f.number++
-			t := request.NewTicket(request.Spec{
+			t := request.NewTicket(request.TicketSpec{
 				ID: request.ID{Number: f.number}, Organisation: "o0", Pool: "p",
 				Arrived: f.now.Add(left - given), Deadline: f.now.Add(left),
 			})
@@ -309,8 +309,8 @@
 		late := waits(time.Minute, 5*time.Second)
 		short := waits(6*time.Second, 6*time.Second)
 		good := waits(time.Minute, 30*time.Second)
-		f.states["r0"].Finish(busy[0], request.End{Cost: 1}, f.now)
-		f.states["r0"].Finish(busy[1], request.End{Cost: 1}, f.now)
+		f.states["r0"].Finish(busy[0], request.RunEnd{Cost: 1}, f.now)
+		f.states["r0"].Finish(busy[1], request.RunEnd{Cost: 1}, f.now)
 		Expect(f.decided[late]).To(HaveLen(1))
 		Expect(f.decided[late][0].Refused).To(Equal(request.ReasonDeadline))
 		Expect(f.decided[short]).To(HaveLen(1))
--- a/internal/control/dispatch.go
+++ b/internal/control/dispatch.go
@@ -192,7 +192,7 @@
 		Pool:         p.name,
 		Holder:       s.members.Self().ID,
 		Organisation: organisation,
-		Charged:      p.estimate.Estimate(organisation, t.Hint()),
+		Charged:      p.estimate.Estimate(organisation, t.CostHint()),
 	}, now)
 	if !ok {
 		s.enqueue(p, t)
@@ -294,7 +294,7 @@
 		picked := candidates[p.policy.Pick(candidates)].Organisation
 		if t, ok = s.popRunnable(p, picked, now); ok {
 			s.counts.Substituted++
-			charged = p.estimate.Estimate(picked, t.Hint())
+			charged = p.estimate.Estimate(picked, t.CostHint())
 			p.charge(picked, charged)
 			return t, charged, true
 		}
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -92,7 +92,7 @@
 }
 
 func (s *State) handleDone(from member.Member, m message.Done, now time.Time) {
-	end := request.End{Cost: m.Cost, Partial: m.Partial, Failed: m.Failed}
+	end := request.RunEnd{Cost: m.Cost, Partial: m.Partial, Failed: m.Failed}
 	p := s.release(m.Slot, m.Organisation, end, now)
 	if p == nil {
 		return
--- a/internal/control/pool.go
+++ b/internal/control/pool.go
@@ -76,7 +76,7 @@
 }
 
 // learnCost updates the cost estimates with a request that ran to its end.
-func (p *pool) learnCost(organisation string, hint float64, end request.End) {
+func (p *pool) learnCost(organisation string, hint float64, end request.RunEnd) {
 	if end.Cost > 0 && !end.Partial {
 		p.estimate.Learn(organisation, hint, end.Cost)
 	}
@@ -86,7 +86,7 @@
 // part of its cost is unknown, above all that of its prompt, and it is charged at
 // least the mean rate of a slot of the pool. Otherwise an organisation with many
 // requests cut off by their deadlines would get part of its service for free.
-func (p *pool) finalCost(end request.End, took time.Duration) float64 {
+func (p *pool) finalCost(end request.RunEnd, took time.Duration) float64 {
 	if end.Partial {
 		return max(end.Cost, p.throughput.perSecond()*took.Seconds())
 	}
@@ -106,7 +106,7 @@
 	if remaining <= 0 || rate == 0 {
 		return remaining > 0
 	}
-	expected := time.Duration(p.estimate.Estimate(t.Organisation(), t.Hint()) / rate * float64(time.Second))
+	expected := time.Duration(p.estimate.Estimate(t.Organisation(), t.CostHint()) / rate * float64(time.Second))
 	return remaining >= expected || t.Deadline().Sub(t.Arrived()) < 2*expected
 }
 
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -93,7 +93,7 @@
 			return nil, err
 		}
 		res, err = c.client.Do(req)
-		if err == nil && res.Header.Get(httpcaller.HeaderReason) == string(request.ReasonLeaving) {
+		if err == nil && res.Header.Get(httpcaller.HeaderReason) == string(request.ReasonRouterLeaving) {
 			res.Body.Close()
 			continue
 		}
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -72,7 +72,7 @@
 	Cost float64
 	// Waiting is what the sender still has queued for the organisation.
 	Waiting int
-	// Partial and Failed are those of request.End.
+	// Partial and Failed are those of request.RunEnd.
 	Partial bool
 	Failed  bool
 }
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -37,27 +37,27 @@
 
 // Reasons for refusing a request.
 const (
-	ReasonBadRequest      Reason = "bad-request"
-	ReasonTooLarge        Reason = "body-too-large"
-	ReasonUnauthorized    Reason = "unknown-key"
-	ReasonUnknownModel    Reason = "unknown-model"
-	ReasonUnknownService  Reason = "unknown-service"
-	ReasonUnknownPath     Reason = "unknown-path"
-	ReasonUnknownRequest  Reason = "unknown-request"
-	ReasonDuplicate       Reason = "duplicate-request"
-	ReasonQueueFull       Reason = "queue-full"
-	ReasonProcessFull     Reason = "process-full"
-	ReasonRateLimit       Reason = "rate-limit"
-	ReasonDeadline        Reason = "deadline"
-	ReasonCancelled       Reason = "cancelled"
-	ReasonDisconnected    Reason = "caller-gone"
-	ReasonLeaving         Reason = "router-leaving"
-	ReasonNotReady        Reason = "not-ready"
-	ReasonTargetFailed    Reason = "target-failed"
-	ReasonTargetRefused   Reason = "target-refused"
-	ReasonRetryBudget     Reason = "retry-budget"
-	ReasonOtherRouter     Reason = "other-router"
-	ReasonIncarnationGone Reason = "incarnation-gone"
+	ReasonBadRequest       Reason = "bad-request"
+	ReasonBodyTooLarge     Reason = "body-too-large"
+	ReasonUnknownKey       Reason = "unknown-key"
+	ReasonUnknownModel     Reason = "unknown-model"
+	ReasonUnknownService   Reason = "unknown-service"
+	ReasonUnknownPath      Reason = "unknown-path"
+	ReasonUnknownRequest   Reason = "unknown-request"
+	ReasonDuplicateRequest Reason = "duplicate-request"
+	ReasonQueueFull        Reason = "queue-full"
+	ReasonProcessFull      Reason = "process-full"
+	ReasonRateLimit        Reason = "rate-limit"
+	ReasonDeadline         Reason = "deadline"
+	ReasonCancelled        Reason = "cancelled"
+	ReasonCallerGone       Reason = "caller-gone"
+	ReasonRouterLeaving    Reason = "router-leaving"
+	ReasonNotReady         Reason = "not-ready"
+	ReasonTargetFailed     Reason = "target-failed"
+	ReasonTargetRefused    Reason = "target-refused"
+	ReasonRetryBudget      Reason = "retry-budget"
+	ReasonOtherRouter      Reason = "other-router"
+	ReasonIncarnationGone  Reason = "incarnation-gone"
 )
 
 // Reasons for retrying a request.
@@ -76,27 +76,27 @@
 }
 
 var refusalAnswers = map[Reason]refusalAnswer{
-	ReasonBadRequest:      {status: http.StatusBadRequest},
-	ReasonTooLarge:        {status: http.StatusRequestEntityTooLarge},
-	ReasonUnauthorized:    {status: http.StatusUnauthorized},
-	ReasonUnknownModel:    {status: http.StatusNotFound},
-	ReasonUnknownService:  {status: http.StatusNotFound},
-	ReasonUnknownPath:     {status: http.StatusNotFound},
-	ReasonUnknownRequest:  {status: http.StatusNotFound},
-	ReasonDuplicate:       {status: http.StatusConflict},
-	ReasonQueueFull:       {status: http.StatusTooManyRequests, retryAfterSeconds: 2},
-	ReasonProcessFull:     {status: http.StatusServiceUnavailable, retryAfterSeconds: 2},
-	ReasonRateLimit:       {status: http.StatusTooManyRequests, retryAfterSeconds: 1},
-	ReasonDeadline:        {status: http.StatusGatewayTimeout},
-	ReasonCancelled:       {status: statusClientClosed},
-	ReasonDisconnected:    {status: statusClientClosed},
-	ReasonLeaving:         {status: http.StatusServiceUnavailable, retryAfterSeconds: 1},
-	ReasonNotReady:        {status: http.StatusServiceUnavailable, retryAfterSeconds: 1},
-	ReasonTargetFailed:    {status: http.StatusBadGateway},
-	ReasonTargetRefused:   {status: http.StatusServiceUnavailable, retryAfterSeconds: 1},
-	ReasonRetryBudget:     {status: http.StatusServiceUnavailable, retryAfterSeconds: 2},
-	ReasonOtherRouter:     {status: http.StatusTemporaryRedirect},
-	ReasonIncarnationGone: {status: http.StatusGone},
+	ReasonBadRequest:       {status: http.StatusBadRequest},
+	ReasonBodyTooLarge:     {status: http.StatusRequestEntityTooLarge},
+	ReasonUnknownKey:       {status: http.StatusUnauthorized},
+	ReasonUnknownModel:     {status: http.StatusNotFound},
+	ReasonUnknownService:   {status: http.StatusNotFound},
+	ReasonUnknownPath:      {status: http.StatusNotFound},
+	ReasonUnknownRequest:   {status: http.StatusNotFound},
+	ReasonDuplicateRequest: {status: http.StatusConflict},
+	ReasonQueueFull:        {status: http.StatusTooManyRequests, retryAfterSeconds: 2},
+	ReasonProcessFull:      {status: http.StatusServiceUnavailable, retryAfterSeconds: 2},
+	ReasonRateLimit:        {status: http.StatusTooManyRequests, retryAfterSeconds: 1},
+	ReasonDeadline:         {status: http.StatusGatewayTimeout},
+	ReasonCancelled:        {status: statusClientClosed},
+	ReasonCallerGone:       {status: statusClientClosed},
+	ReasonRouterLeaving:    {status: http.StatusServiceUnavailable, retryAfterSeconds: 1},
+	ReasonNotReady:         {status: http.StatusServiceUnavailable, retryAfterSeconds: 1},
+	ReasonTargetFailed:     {status: http.StatusBadGateway},
+	ReasonTargetRefused:    {status: http.StatusServiceUnavailable, retryAfterSeconds: 1},
+	ReasonRetryBudget:      {status: http.StatusServiceUnavailable, retryAfterSeconds: 2},
+	ReasonOtherRouter:      {status: http.StatusTemporaryRedirect},
+	ReasonIncarnationGone:  {status: http.StatusGone},
 }
 
 // statusClientClosed is the status that proxies log for a client that has disconnected.
@@ -105,18 +105,18 @@
 // Status returns the HTTP status of a refusal.
 func (r Reason) Status() int { return refusalAnswers[r].status }
 
-// RetryAfter returns the number of seconds after which to retry, or 0 if a retry will not
-// help.
-func (r Reason) RetryAfter() int { return refusalAnswers[r].retryAfterSeconds }
+// RetryAfterSeconds returns the number of seconds after which to retry, or 0 if a retry will
+// not help.
+func (r Reason) RetryAfterSeconds() int { return refusalAnswers[r].retryAfterSeconds }
 
 // Reasons returns all reasons for refusing and for retrying, in the order in which the
 // documentation lists them.
 func Reasons() []Reason {
 	return []Reason{
-		ReasonBadRequest, ReasonTooLarge, ReasonUnauthorized, ReasonUnknownModel,
-		ReasonUnknownService, ReasonUnknownPath, ReasonUnknownRequest, ReasonDuplicate,
+		ReasonBadRequest, ReasonBodyTooLarge, ReasonUnknownKey, ReasonUnknownModel,
+		ReasonUnknownService, ReasonUnknownPath, ReasonUnknownRequest, ReasonDuplicateRequest,
 		ReasonQueueFull, ReasonProcessFull, ReasonRateLimit, ReasonDeadline,
-		ReasonCancelled, ReasonDisconnected, ReasonLeaving, ReasonNotReady,
+		ReasonCancelled, ReasonCallerGone, ReasonRouterLeaving, ReasonNotReady,
 		ReasonTargetFailed, ReasonTargetRefused, ReasonRetryBudget,
 		ReasonOtherRouter, ReasonIncarnationGone,
 		RetryUnreachable, RetryRefused, RetryBroken, RetryResume,
@@ -166,8 +166,8 @@
 	arrived      time.Time
 	hint         float64
 
-	// Served is the cost served so far, in cost units; the request's goroutine adds to it.
-	Served atomic.Int64
+	// ServedCost is the cost served so far, in cost units; the request's goroutine adds to it.
+	ServedCost atomic.Int64
 	// Decision carries the control thread's decisions to the request's goroutine, one at a time.
 	Decision chan Decision
 }
@@ -179,12 +179,12 @@
 	Address string
 	// Refused is empty if a slot was assigned.
 	Refused Reason
-	// After overrides the RetryAfter of the reason, in seconds; 0 if it does not.
-	After int
+	// RetryAfterSeconds overrides the one of the reason if it is not 0.
+	RetryAfterSeconds int
 }
 
-// End describes how a request's run on an engine ended.
-type End struct {
+// RunEnd describes how a request's run on an engine ended.
+type RunEnd struct {
 	// Cost is the cost known to have been served, in cost units.
 	Cost float64
 	// Partial is set if the run was cut short, so that more than Cost may have been served.
@@ -193,20 +193,20 @@
 	Failed bool
 }
 
-// Spec holds the parameters of a new ticket.
-type Spec struct {
+// TicketSpec holds the parameters of a new ticket.
+type TicketSpec struct {
 	ID           ID
 	Organisation string
 	Pool         string
 	Priority     int
 	Deadline     time.Time
 	Arrived      time.Time
-	// Hint is the caller's estimate of the cost; 0 if none.
-	Hint float64
+	// CostHint is the caller's estimate of the cost; 0 if none.
+	CostHint float64
 }
 
 // NewTicket returns a ticket for a request.
-func NewTicket(s Spec) *Ticket {
+func NewTicket(s TicketSpec) *Ticket {
 	return &Ticket{
 		id:           s.ID,
 		organisation: s.Organisation,
@@ -214,7 +214,7 @@
 		priority:     s.Priority,
 		deadline:     s.Deadline,
 		arrived:      s.Arrived,
-		hint:         s.Hint,
+		hint:         s.CostHint,
 		Decision:     make(chan Decision, 1),
 	}
 }
@@ -237,5 +237,5 @@
 // Arrived returns when the router accepted the request.
 func (t *Ticket) Arrived() time.Time { return t.arrived }
 
-// Hint returns the caller's estimate of the cost, or 0 if it gave none.
-func (t *Ticket) Hint() float64 { return t.hint }
+// CostHint returns the caller's estimate of the cost, or 0 if it gave none.
+func (t *Ticket) CostHint() float64 { return t.hint }
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -90,7 +90,7 @@
 	c.router.loop.do(func(s *control.State, now time.Time) { s.Retry(t, now) })
 }
 
-func (c core) Finish(t *request.Ticket, end request.End) {
+func (c core) Finish(t *request.Ticket, end request.RunEnd) {
 	c.router.loop.do(func(s *control.State, now time.Time) { s.Finish(t, end, now) })
 }
 
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -151,15 +151,15 @@
 	"no model":         {"POST", "/v1/chat/completions", "{}", nil, request.ReasonBadRequest, "field model"},
 	"no messages":      {"POST", "/v1/chat/completions", `{"model":"chat"}`, nil, request.ReasonBadRequest, "field messages"},
 	"unknown model":    {"POST", "/v1/chat/completions", `{"model":"x","messages":[{}]}`, nil, request.ReasonUnknownModel, "field model"},
-	"unknown key":      {"POST", "/v1/chat/completions", "", []string{"Authorization", "Bearer x"}, request.ReasonUnauthorized, "API key"},
-	"no key":           {"POST", "/v1/chat/completions", "", []string{"Authorization", ""}, request.ReasonUnauthorized, "Authorization"},
+	"unknown key":      {"POST", "/v1/chat/completions", "", []string{"Authorization", "Bearer x"}, request.ReasonUnknownKey, "API key"},
+	"no key":           {"POST", "/v1/chat/completions", "", []string{"Authorization", ""}, request.ReasonUnknownKey, "Authorization"},
 	"bad deadline":     {"POST", "/v1/chat/completions", chat("a", 1, false), []string{httpcaller.HeaderDeadline, "-1s"}, request.ReasonBadRequest, httpcaller.HeaderDeadline},
 	"bad priority":     {"POST", "/v1/chat/completions", chat("a", 1, false), []string{httpcaller.HeaderPriority, "11"}, request.ReasonBadRequest, httpcaller.HeaderPriority},
 	"bad hint":         {"POST", "/v1/chat/completions", chat("a", 1, false), []string{httpcaller.HeaderCostHint, "NaN"}, request.ReasonBadRequest, httpcaller.HeaderCostHint},
 	"bad repeatable":   {"POST", "/v1/chat/completions", chat("a", 1, false), []string{httpcaller.HeaderRepeatable, "maybe"}, request.ReasonBadRequest, httpcaller.HeaderRepeatable},
 	"bad id":           {"POST", "/v1/chat/completions", chat("a", 1, false), []string{httpcaller.HeaderRequestID, "x"}, request.ReasonBadRequest, httpcaller.HeaderRequestID},
 	"id never given":   {"POST", "/v1/services/pay/x", "", []string{httpcaller.HeaderRequestID, "r1.1.1"}, request.ReasonIncarnationGone, "gone"},
-	"too large":        {"POST", "/v1/chat/completions", strings.Repeat("x", 2<<20), nil, request.ReasonTooLarge, "1048576"},
+	"too large":        {"POST", "/v1/chat/completions", strings.Repeat("x", 2<<20), nil, request.ReasonBodyTooLarge, "1048576"},
 	"unknown service":  {"POST", "/v1/services/x/y", "", nil, request.ReasonUnknownService, "no instance"},
 	"unknown path":     {"GET", "/nowhere", "", nil, request.ReasonUnknownPath, "/nowhere"},
 	"unknown request":  {"GET", "/v1/requests/r9.1.1", "", nil, request.ReasonIncarnationGone, "gone"},
@@ -422,7 +422,7 @@
 		Expect(a.outcome).To(Equal(request.Completed), a.body)
 		Eventually(drained, "30s").Should(Receive(BeNil()))
 		refused := s.do(r3, "POST", "/v1/chat/completions", chat("older", 2, false))
-		Expect(refused.reason).To(Equal(request.ReasonLeaving))
+		Expect(refused.reason).To(Equal(request.ReasonRouterLeaving))
 		Expect(refused.outcome).To(Equal(request.NotRun))
 	})
 
