--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -199,7 +199,7 @@
 }
 
 // newEntry returns the entry for an object of the store that replaces old, which is nil if
-// there is none. It returns old if the object is about an older incarnation.
+// there is none. It returns old itself if the object is about an older incarnation.
 func (c *Catalog) newEntry(now time.Time, old *entry, t message.StoredObject) *entry {
 	known := c.departed[t.Name]
 	if old != nil {
@@ -265,9 +265,9 @@
 }
 
 // ExpireLapsed drops the lapsed entries whose time is over and returns their names, sorted. If
-// most entries have lapsed, the store was unavailable, and all are kept until the unstable period
-// ends. Otherwise an entry's own deadline counts, so that further trouble between this router
-// and the store doesn't keep targets in use that have left.
+// most entries have lapsed, the store was unavailable, and all are kept until the unstable
+// period ends. Otherwise an entry's own deadline counts, so that further trouble between this
+// router and the store doesn't keep targets in use that have left.
 func (c *Catalog) ExpireLapsed(now time.Time) []string {
 	if c.mostLapsed() && now.Before(c.unstableUntil) {
 		return nil
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -72,9 +72,9 @@
 	return slices.Collect(maps.Values(h.at(revision)))
 }
 
-// TestCopies updates the catalogs of two routers from a store, with delayed, partial and repeated
-// lists and changes, and from each other. It compares their targets with those of the store as of
-// the revision that the catalog returns.
+// TestCopies updates the catalogs of two routers from a store, with delayed, partial and
+// repeated lists and changes, and from each other. It compares their targets with those of the
+// store as of the revision that the catalog returns.
 func TestCopies(t *testing.T) {
 	invariant.Strict()
 	rapid.Check(t, func(t *rapid.T) {
@@ -171,9 +171,9 @@
 	}
 }
 
-// TestLapseIsForwarded checks that two routers that copy from each other, one of which has seen
-// trouble with the store, keep a lapsed entry as long as that one would alone, however often they
-// copy.
+// TestLapseIsForwarded checks that two routers that copy from each other, one of which has
+// seen trouble with the store, keep a lapsed entry as long as that one would alone, however
+// often they copy.
 func TestLapseIsForwarded(t *testing.T) {
 	now := time.Now()
 	a, b := catalog.New(codec{}, drainPeriod, entryTTL), catalog.New(codec{}, drainPeriod, entryTTL)
@@ -248,8 +248,9 @@
 	}
 }
 
-// TestRemovalBeforeFirstList checks that routers learn of the removal of an entry from a router that
-// has started after it, although the first list of that router doesn't contain the removal.
+// TestRemovalBeforeFirstList checks that routers learn of the removal of an entry from a
+// router that has started after it, although the first list of that router doesn't contain the
+// removal.
 func TestRemovalBeforeFirstList(t *testing.T) {
 	now := time.Now()
 	kept, gone := stored("kept", 1), stored("gone", 2)
@@ -315,8 +316,8 @@
 	}
 }
 
-// TestLapseEndsWhenEntriesAreBack checks that an entry that disappears late in the unstable period
-// is used only until the end of this period.
+// TestLapseEndsWhenEntriesAreBack checks that an entry that disappears late in the unstable
+// period is used only until the end of this period.
 func TestLapseEndsWhenEntriesAreBack(t *testing.T) {
 	now := time.Now()
 	c := catalog.New(codec{}, drainPeriod, entryTTL)
--- a/internal/catalog/ignored.go
+++ b/internal/catalog/ignored.go
@@ -66,8 +66,8 @@
 	c.ignoredByField[entry.Field]++
 }
 
-// Ignored returns the first maxIgnored entries found unusable since the last call, and the number
-// of all such entries by field.
+// Ignored returns the first maxIgnored entries found unusable since the last call, and the
+// number of all such entries by field.
 func (c *Catalog) Ignored() ([]Ignored, map[string]int) {
 	list, by := c.ignored, c.ignoredByField
 	c.ignored, c.ignoredByField = nil, map[string]int{}
--- a/internal/catalog/incarnation_test.go
+++ b/internal/catalog/incarnation_test.go
@@ -136,9 +136,9 @@
 	return newest
 }
 
-// TestIncarnationsAgree checks that no router goes back to an older incarnation of a target. Targets
-// restart, entries become unusable and are written late by processes that have ended, and the
-// routers receive all this from the store and from each other in any order.
+// TestIncarnationsAgree checks that no router goes back to an older incarnation of a target.
+// Targets restart, entries become unusable and are written late by processes that have ended,
+// and the routers receive all this from the store and from each other in any order.
 func TestIncarnationsAgree(t *testing.T) {
 	const routers = 3
 	names := []string{"a", "b"}
@@ -247,9 +247,9 @@
 	})
 }
 
-// Guards against a fault in which a router that knew a later incarnation ignored a late write of an
-// older one, and also left it out of copies for other routers. Such a router then kept using an even
-// older incarnation: "router 1 uses b@1 though 2 is known".
+// Guards against a fault in which a router that knew a later incarnation ignored a late write
+// of an older one, and also left it out of copies for other routers. Such a router then kept
+// using an even older incarnation: "router 1 uses b@1 though 2 is known".
 func TestLateWriteIsForwarded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	knows, behind := catalog.New(bornCodec{}, drainPeriod, entryTTL), catalog.New(bornCodec{}, drainPeriod, entryTTL)
@@ -262,9 +262,9 @@
 	}
 }
 
-// Guards against a fault in which a late write of an earlier process passed for a new incarnation
-// after the entry had been removed and an unusable one had followed, since the unusable one was
-// remembered without a start time.
+// Guards against a fault in which a late write of an earlier process passed for a new
+// incarnation after the entry had been removed and an unusable one had followed, since the
+// unusable one was remembered without a start time.
 func TestOlderIncarnationsAfterRemoval(t *testing.T) {
 	k := catalog.New(bornCodec{}, drainPeriod, entryTTL)
 	k.SetTargets(time.Time{}, 1, []message.StoredObject{entryOf("a", 1, "3")})
--- a/internal/catalog/left_test.go
+++ b/internal/catalog/left_test.go
@@ -14,8 +14,8 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// countedCodec decodes a target whose value is the number of times that its process has written the
-// entry.
+// countedCodec decodes a target whose value is the number of times that its process has
+// written the entry.
 type countedCodec struct{}
 
 func (countedCodec) Table([]byte) (*routing.Table, error) {
@@ -27,9 +27,9 @@
 	return balance.Target{ID: name, Service: "s", Born: 1, Writes: n}, errors.Wrap(err, "target")
 }
 
-// Guards against a fault in which a target that had left was used again: the store came back from a
-// copy that lists the target, and came back from a copy once more before the entry's TTL ran out,
-// but the entry was unconfirmed only for the time counted from the first return.
+// Guards against a fault in which a target that had left was used again: the store came back
+// from a copy that lists the target, and came back from a copy once more before the entry's
+// TTL ran out, but the entry was unconfirmed only for the time counted from the first return.
 func TestDepartedTargetWhenStoreComesBackTwice(t *testing.T) {
 	now := time.Unix(1000, 0)
 	k := catalog.New(countedCodec{}, drainPeriod, entryTTL)
--- a/internal/catalog/replica.go
+++ b/internal/catalog/replica.go
@@ -16,9 +16,9 @@
 	Gone bool
 }
 
-// replica is a copy of the store's objects of one kind that never goes back to an older state. It
-// accepts complete lists and changes in any order, from the store and from other routers, and
-// returns the difference for a router that is behind. Use newReplica to make one.
+// replica is a copy of the store's objects of one kind that never goes back to an older state.
+// It accepts complete lists and changes in any order, from the store and from other routers,
+// and returns the difference for a router that is behind. Use newReplica to make one.
 type replica struct {
 	// revision is the store's revision as of which the copy is complete, changed the revision
 	// of the newest known change.
@@ -38,9 +38,9 @@
 }
 
 // noteStoreList must be called before a complete list from the store is stored. The first such
-// list doesn't tell which objects were removed before it, so its revision counts as a change, and
-// routers with an older list request this one. Otherwise, if all routers that watch the store
-// were killed when an object was removed, the others would never learn of the removal.
+// list doesn't tell which objects were removed before it, so its revision counts as a change,
+// and routers with an older list request this one. Otherwise, if all routers that watch the
+// store were killed when an object was removed, the others would never learn of the removal.
 func (r *replica) noteStoreList(revision int64) {
 	if r.revision == 0 {
 		r.changed = max(r.changed, revision)
--- a/internal/catalog/version.go
+++ b/internal/catalog/version.go
@@ -1,8 +1,8 @@
 package catalog
 
-// Version orders the entries of one target, in whatever order they arrive: a target that restarts
-// under its id begins a new incarnation, and entries of older incarnations are old however late
-// they arrive. Within one incarnation the store's revision decides.
+// Version orders the entries of one target, in whatever order they arrive: a target that
+// restarts under its id begins a new incarnation, and entries of older incarnations are old
+// however late they arrive. Within one incarnation the store's revision decides.
 //
 // The zero value is older than all others.
 type Version struct {
@@ -24,9 +24,9 @@
 	return v.Revision > than.Revision
 }
 
-// WrittenAfter reports whether v was written after another version of the same target, by a later
-// process or by the same one with a higher count of writes. Without a count v is taken to be the
-// later one.
+// WrittenAfter reports whether v was written after another version of the same target, by a
+// later process or by the same one with a higher count of writes. Without a count v is taken
+// to be the later one.
 func (v Version) WrittenAfter(other Version) bool {
 	if v.Born != other.Born {
 		return v.Born > other.Born
--- a/internal/catalog/zones.go
+++ b/internal/catalog/zones.go
@@ -8,9 +8,9 @@
 	"github.com/stepcroft/stepcroft/internal/message"
 )
 
-// SetZones replaces the list of drained availability zones with the store's complete list as of a
-// revision. An object's name is that of the zone, its content is ignored. It returns false if
-// nothing changed.
+// SetZones replaces the list of drained availability zones with the store's complete list as
+// of a revision. An object's name is that of the zone, its content is ignored. It returns
+// false if nothing changed.
 func (c *Catalog) SetZones(now time.Time, revision int64, list []message.StoredObject) bool {
 	c.zones.noteStoreList(revision)
 	changes, newer := c.zones.replace(revision, list)
--- a/internal/revision/revision.go
+++ b/internal/revision/revision.go
@@ -1,7 +1,7 @@
-// Package revision defines a total order of all writes of a store, also across restores. A store
-// that comes back from an older copy hands out the same revisions again. It is in a new era then,
-// and all its revisions are later than any of an earlier era. The era and the store's revision are
-// combined into one number, so that revisions compare as integers.
+// Package revision defines a total order of all writes of a store, also across restores. A
+// store that comes back from an older copy hands out the same revisions again. It is in a new
+// era then, and all its revisions are later than any of an earlier era. The era and the
+// store's revision are combined into one number, so that revisions compare as integers.
 package revision
 
 import "github.com/pkg/errors"
--- a/internal/roster/cold_test.go
+++ b/internal/roster/cold_test.go
@@ -14,8 +14,8 @@
 // coldRate is the request rate that a cold target can take in the simulations.
 var coldRate = coldstart.Rate{PerSecond: 9.8, MaxPerSecond: 19.7}
 
-// coldRatePerView is the number of requests per second that routers with the same view of the fleet
-// may send to a cold target together. Three disjoint views stay within coldRate.
+// coldRatePerView is the number of requests per second that routers with the same view of the
+// fleet may send to a cold target together. Three disjoint views stay within coldRate.
 const coldRatePerView = 6.0
 
 // sendInterval is the time between two attempts of a router to send to the cold targets.
--- a/internal/roster/known.go
+++ b/internal/roster/known.go
@@ -47,15 +47,15 @@
 // Ranked returns the Peer addresses of the first n live routers for a key by rendezvous
 // hashing, best first. This router is left out if it is one of the n.
 func (r *Roster) Ranked(now time.Time, key string, n int) []string {
-	first := make([]ranked, 0, n+1)
+	first := make([]rankedRouter, 0, n+1)
 	hash := rendezvous.Hash(key)
 	for other := range r.Each(now) {
 		w := rendezvous.WeightFromHashes(hash, rendezvous.Hash(string(other.ID)))
-		at, _ := slices.BinarySearchFunc(first, w, func(e ranked, w uint64) int { return cmp.Compare(w, e.weight) })
+		at, _ := slices.BinarySearchFunc(first, w, func(e rankedRouter, w uint64) int { return cmp.Compare(w, e.weight) })
 		if at >= n {
 			continue
 		}
-		first = slices.Insert(first, at, ranked{weight: w, id: other.ID, peer: other.Peer})
+		first = slices.Insert(first, at, rankedRouter{weight: w, id: other.ID, peer: other.Peer})
 		first = first[:min(len(first), n)]
 	}
 	var list []string
@@ -67,8 +67,8 @@
 	return list
 }
 
-// ranked is a router and its rendezvous weight for a key.
-type ranked struct {
+// rankedRouter is a router and its rendezvous weight for a key.
+type rankedRouter struct {
 	weight uint64
 	id     message.RouterID
 	peer   string
--- a/internal/roster/news_test.go
+++ b/internal/roster/news_test.go
@@ -14,8 +14,9 @@
 // maxProcessingDelay is the maximum delay with which a busy box processes a message.
 const maxProcessingDelay = 200 * time.Millisecond
 
-// quarantineFleet simulates how the routers of a fleet exchange what they know of requests that
-// crash targets. As in the product, a router whose ping shows a different digest requests all records.
+// quarantineFleet simulates how the routers of a fleet exchange what they know of requests
+// that crash targets. As in the product, a router whose ping shows a different digest requests
+// all records.
 type quarantineFleet struct {
 	*fleet
 	states    []*quarantine.State
--- a/internal/roster/random_test.go
+++ b/internal/roster/random_test.go
@@ -7,13 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-// quiet is the time without faults after which every roster must know exactly the running routers,
-// as it would if each router sent its state to all others. It suffices to detect a death, to
-// rejoin after a partition and to request missed records.
+// quiet is the time without faults after which every roster must know exactly the running
+// routers, as it would if each router sent its state to all others. It suffices to detect a
+// death, to rejoin after a partition and to request missed records.
 const quiet = 12 * time.Second
 
-// TestAgreesWithAllToAll checks that all rosters converge after random deaths, restarts with clocks
-// that jump, network partitions and lost messages.
+// TestAgreesWithAllToAll checks that all rosters converge after random deaths, restarts with
+// clocks that jump, network partitions and lost messages.
 func TestAgreesWithAllToAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 24).Draw(t, "routers"), rapid.Uint64().Draw(t, "seed"))
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -311,17 +311,17 @@
 // one whose group has sent minMismatches different digests in a row. Routers of other
 // availability zones come into question only while the local zone agrees.
 func (r *Roster) startSync(now time.Time, e *entry, digest uint64, firstContact bool) bool {
-	differing := &r.near.mismatches
+	mismatches := &r.near.mismatches
 	if e.Zone != r.self.Zone {
-		differing = &r.far.mismatches
+		mismatches = &r.far.mismatches
 	}
-	*differing++
+	*mismatches++
 	if digest == r.digest {
-		*differing = 0
+		*mismatches = 0
 	}
 	tooSoon := now.Sub(r.lastSync) < syncInterval || now.Sub(r.lastUpdate) < settleDelay
 	awaitsLocalZone := e.Zone != r.self.Zone && r.near.mismatches > 0
-	if *differing == 0 || !firstContact && (*differing < minMismatches || tooSoon || awaitsLocalZone) {
+	if *mismatches == 0 || !firstContact && (*mismatches < minMismatches || tooSoon || awaitsLocalZone) {
 		return false
 	}
 	r.near.mismatches, r.far.mismatches = 0, 0
--- a/internal/roster/storm_test.go
+++ b/internal/roster/storm_test.go
@@ -16,19 +16,20 @@
 	requestsPerEngine = 30
 	// retriedFraction is the fraction of the requests that had been sent to two engines.
 	retriedFraction = 0.1
-	// maxDetectionDelay is the maximum time until a router notices that an engine has crashed: its
-	// connection is reset when it sends something.
+	// maxDetectionDelay is the maximum time until a router notices that an engine has crashed:
+	// its connection is reset when it sends something.
 	maxDetectionDelay = 300 * time.Millisecond
 	// observationTime is the duration of the simulation after the crash.
 	observationTime = 12 * time.Second
-	// maxSentBytesPerSecond bounds what a router sends about the crashes, in bytes per second, and
-	// stormTaken the number of records that it receives per second. At about 10 microseconds
-	// each, they take 0.2% of a core.
+	// maxSentBytesPerSecond bounds what a router sends about the crashes, in bytes per second,
+	// and maxReceivedPerSecond the number of records that it receives per second. At about 10
+	// microseconds each, they take 0.2% of a core.
 	maxSentBytesPerSecond = 1000
 	maxReceivedPerSecond  = 200
 )
 
-// crashZone simulates the crash of all engines of a zone and returns the requests that ran there.
+// crashZone simulates the crash of all engines of a zone and returns the requests that ran
+// there.
 func (s *quarantineFleet) crashZone() []quarantine.Key {
 	var keys []quarantine.Key
 	seen := map[int]map[*router]bool{}
@@ -73,8 +74,8 @@
 	return n
 }
 
-// TestZoneCrash checks that the simultaneous crash of all engines of a zone puts no request under
-// quarantine, and that the routers exchange little data because of it.
+// TestZoneCrash checks that the simultaneous crash of all engines of a zone puts no request
+// under quarantine, and that the routers exchange little data because of it.
 func TestZoneCrash(t *testing.T) {
 	cases := map[string]int{"8 routers": 8, "91": 91, "295": 295}
 	for name, n := range cases {
