--- a/internal/ingress/quick.go
+++ b/internal/ingress/quick.go
@@ -86,7 +86,7 @@
 	if !out.ToEngine {
 		return out, ""
 	}
-	return out, s.forwarder.Crowded(out.Organisation, offer(out))
+	return out, s.forwarder.ShedReason(out.Organisation, offer(out))
 }
 
 // quickAnswer returns the bytes of a refusal; if last is set, its header says that the
@@ -154,7 +154,7 @@
 // the head is incomplete, or unusual and so left to the HTTP server: among others without a
 // Host, with a repeated header of those read here, with a Content-Length that is not a positive
 // number, with folded lines, or with a Connection, Transfer-Encoding, Expect or Upgrade header.
-func parseHead(b []byte, names *forward.Dialect) (h quickHead, size int, ok bool) {
+func parseHead(b []byte, names *forward.HeaderNames) (h quickHead, size int, ok bool) {
 	end := bytes.Index(b, headEnd)
 	if end < 0 {
 		return h, 0, false
@@ -185,7 +185,7 @@
 
 // header parses a header line, without its line end. It returns false if the HTTP server is to
 // parse the request.
-func (h *quickHead) header(l []byte, names *forward.Dialect) bool {
+func (h *quickHead) header(l []byte, names *forward.HeaderNames) bool {
 	name, value, ok := bytes.Cut(l, []byte(":"))
 	if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") {
 		return false
