--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -49,7 +49,7 @@
 	// born is the start time of the newest known incarnation, in Unix milliseconds.
 	born int64
 	// lapsedAt is when the entry disappeared while the store was in trouble, zero while the
-	// store holds it. A lapsedAt entry is dropped at lapsedUntil.
+	// store holds it. A lapsed entry is dropped at lapsedUntil.
 	lapsedAt, lapsedUntil time.Time
 	// coldUntil is when the target stops being cold.
 	coldUntil time.Time
@@ -131,7 +131,7 @@
 // now may belong to healthy targets.
 func (c *Catalog) MarkUnstable(now time.Time) { c.unstableUntil = now.Add(c.maxLapse) }
 
-// unstableFor returns the rest of the unstableFor period, 0 if there is none.
+// unstableFor returns the rest of the unstable period, 0 if there is none.
 func (c *Catalog) unstableFor(now time.Time) time.Duration { return max(c.unstableUntil.Sub(now), 0) }
 
 // version returns the operators' version number in the configuration in force, 0 if it has none.
@@ -154,7 +154,7 @@
 		return false, errors.Wrapf(err, "configuration of revision %d", revision)
 	}
 	revisions := message.Revisions{Config: revision, Version: t.Version()}
-	if !revisions.ConfigNewer(c.Newest()) {
+	if !revisions.ConfigNewerThan(c.Newest()) {
 		return false, nil
 	}
 	invariant.Check(t.Version() == 0 || t.Version() >= c.version(), invariant.NeverReverts)
@@ -199,7 +199,7 @@
 }
 
 // newEntry returns the entry for an object of the store that replaces old, which is nil if
-// there is none. It returns old if the object is about an older incarnation.
+// there is none. It returns old itself if the object is about an older incarnation.
 func (c *Catalog) newEntry(now time.Time, old *entry, t message.StoredObject) *entry {
 	known := c.departed[t.Name]
 	if old != nil {
@@ -265,9 +265,9 @@
 }
 
 // ExpireLapsed drops the lapsed entries whose time is over and returns their names, sorted. If
-// most entries have lapsed, the store was unavailable, and all are kept until the unstable period
-// ends. Otherwise an entry's own deadline counts, so that further trouble between this router
-// and the store doesn't keep targets in use that have left.
+// most entries have lapsed, the store was unavailable, and all are kept until the unstable
+// period ends. Otherwise an entry's own deadline counts, so that further trouble between this
+// router and the store doesn't keep targets in use that have left.
 func (c *Catalog) ExpireLapsed(now time.Time) []string {
 	if c.mostLapsed() && now.Before(c.unstableUntil) {
 		return nil
@@ -337,11 +337,11 @@
 // Copy returns what a router lacks that has the revisions in need.
 func (c *Catalog) Copy(now time.Time, need message.NeedCopy) message.Copy {
 	out := message.Copy{Targets: c.targets.since(need.Targets), Zones: c.zones.since(need.Zones)}
-	if c.table != nil && c.Newest().ConfigNewer(message.Revisions(need)) {
+	if c.table != nil && c.Newest().ConfigNewerThan(message.Revisions(need)) {
 		out.ConfigRevision, out.Config = c.configRevision, c.config
 	}
 	if out.Targets.Revision > 0 || out.Zones.Revision > 0 {
-		out.Unstable = c.unstableFor(now)
+		out.UnstableFor = c.unstableFor(now)
 	}
 	return out
 }
@@ -349,8 +349,8 @@
 // Merge merges another router's copy of the targets and drained zones. It returns false if that
 // brought nothing new.
 func (c *Catalog) Merge(now time.Time, m message.Copy) bool {
-	if (c.targets.accepts(m.Targets) || c.zones.accepts(m.Zones)) && m.Unstable > c.unstableFor(now) {
-		c.unstableUntil = now.Add(m.Unstable)
+	if (c.targets.accepts(m.Targets) || c.zones.accepts(m.Zones)) && m.UnstableFor > c.unstableFor(now) {
+		c.unstableUntil = now.Add(m.UnstableFor)
 	}
 	drained, _ := c.zones.merge(m.Zones)
 	c.retain(now, drained)
--- a/internal/catalog/replica.go
+++ b/internal/catalog/replica.go
@@ -16,9 +16,9 @@
 	Gone bool
 }
 
-// replica is a copy of the store's objects of one kind that never goes back to an older state. It
-// accepts complete lists and changes in any order, from the store and from other routers, and
-// returns the difference for a router that is behind. Use newReplica to make one.
+// replica is a copy of the store's objects of one kind that never goes back to an older state.
+// It accepts complete lists and changes in any order, from the store and from other routers,
+// and returns the difference for a router that is behind. Use newReplica to make one.
 type replica struct {
 	// revision is the store's revision as of which the copy is complete, changed the revision
 	// of the newest known change.
@@ -37,10 +37,10 @@
 	return replica{objects: map[string]message.StoredObject{}, gone: map[string]int64{}}
 }
 
-// noteStoreList must be called before a complete list from the store is stored. The noteStoreList such
-// list doesn't tell which objects were removed before it, so its revision counts as a change, and
-// routers with an older list request this one. Otherwise, if all routers that watch the store
-// were killed when an object was removed, the others would never learn of the removal.
+// noteStoreList must be called before a complete list from the store is stored. The first such
+// list doesn't tell which objects were removed before it, so its revision counts as a change,
+// and routers with an older list request this one. Otherwise, if all routers that watch the
+// store were killed when an object was removed, the others would never learn of the removal.
 func (r *replica) noteStoreList(revision int64) {
 	if r.revision == 0 {
 		r.changed = max(r.changed, revision)
@@ -143,7 +143,7 @@
 	}
 	for name, revision := range r.gone {
 		if out.Since > 0 && revision > out.Since {
-			out.Gone = append(out.Gone, message.StoredObject{Name: name, Revision: revision})
+			out.Removed = append(out.Removed, message.StoredObject{Name: name, Revision: revision})
 		}
 	}
 	return out
@@ -164,11 +164,11 @@
 	if m.Since == 0 {
 		return r.replace(m.Revision, m.List)
 	}
-	changes := make([]Change, 0, len(m.List)+len(m.Gone))
+	changes := make([]Change, 0, len(m.List)+len(m.Removed))
 	for _, o := range m.List {
 		changes = append(changes, Change{StoredObject: o})
 	}
-	for _, o := range m.Gone {
+	for _, o := range m.Removed {
 		changes = append(changes, Change{StoredObject: o, Gone: true})
 	}
 	return r.apply(m.Revision, changes), len(changes) > 0
--- a/internal/roster/known.go
+++ b/internal/roster/known.go
@@ -47,15 +47,15 @@
 // Ranked returns the Peer addresses of the first n live routers for a key by rendezvous
 // hashing, best first. This router is left out if it is one of the n.
 func (r *Roster) Ranked(now time.Time, key string, n int) []string {
-	first := make([]ranked, 0, n+1)
+	first := make([]rankedRouter, 0, n+1)
 	hash := rendezvous.Hash(key)
 	for other := range r.Each(now) {
 		w := rendezvous.WeightFromHashes(hash, rendezvous.Hash(string(other.ID)))
-		at, _ := slices.BinarySearchFunc(first, w, func(e ranked, w uint64) int { return cmp.Compare(w, e.weight) })
+		at, _ := slices.BinarySearchFunc(first, w, func(e rankedRouter, w uint64) int { return cmp.Compare(w, e.weight) })
 		if at >= n {
 			continue
 		}
-		first = slices.Insert(first, at, ranked{weight: w, id: other.ID, peer: other.Peer})
+		first = slices.Insert(first, at, rankedRouter{weight: w, id: other.ID, peer: other.Peer})
 		first = first[:min(len(first), n)]
 	}
 	var list []string
@@ -67,8 +67,8 @@
 	return list
 }
 
-// ranked is a router and its rendezvous weight for a key.
-type ranked struct {
+// rankedRouter is a router and its rendezvous weight for a key.
+type rankedRouter struct {
 	weight uint64
 	id     message.RouterID
 	peer   string
@@ -106,7 +106,7 @@
 			continue
 		}
 		all++
-		if e.hasRecord() && e.Belief == message.Alive {
+		if e.hasRecord() && e.State == message.Alive {
 			alive++
 		}
 	}
@@ -123,7 +123,7 @@
 		running, all = running+1, all+1
 	}
 	for _, e := range r.peerList {
-		if e.hasRecord() && e.Belief == message.Alive && slices.Contains(r.seeds, e.Peer) {
+		if e.hasRecord() && e.State == message.Alive && slices.Contains(r.seeds, e.Peer) {
 			running++
 		}
 	}
@@ -163,9 +163,9 @@
 		return true
 	}
 	if !e.hasRecord() {
-		return e.listed && now.Sub(e.beliefSince) < listedGracePeriod
+		return e.listed && now.Sub(e.stateSince) < listedGracePeriod
 	}
-	return e.Belief != message.Gone
+	return e.State != message.Gone
 }
 
 // hash returns a hash of a record's id, incarnation and version.
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -80,9 +80,9 @@
 type entry struct {
 	message.RouterRecord
 	listed bool
-	// lastHeard is when its last message arrived, beliefSince when the current record,
-	// with its Belief, was stored.
-	lastHeard, beliefSince time.Time
+	// lastHeard is when its last message arrived, stateSince when the current record,
+	// with its State, was stored.
+	lastHeard, stateSince time.Time
 	// pingedAt is when the outstanding ping was sent, zero if there is none. missedPings
 	// is the number of pings before that one that timed out.
 	pingedAt    time.Time
@@ -91,14 +91,14 @@
 
 // digestPart returns the entry's contribution to the digest.
 func (e *entry) digestPart() uint64 {
-	if !e.hasRecord() || e.Belief == message.Gone {
+	if !e.hasRecord() || e.State == message.Gone {
 		return 0
 	}
 	return hash(e.RouterRecord)
 }
 
 // hasRecord reports whether a record of the router has arrived. Without one, only its entry
-// on the platform's list is hasRecord.
+// on the platform's list is known.
 func (e *entry) hasRecord() bool { return e.Incarnation > 0 }
 
 // Roster is one router's view of the fleet's routers. Use New to make one.
@@ -127,7 +127,7 @@
 	lastUpdate time.Time
 	// lastSync is when a full sync was last requested.
 	lastSync time.Time
-	// changes holds the records that changed a belief since the last call of Changes.
+	// changes holds the records that changed a state since the last call of Changes.
 	changes []message.RouterRecord
 	// listReceived is set once the platform's list of routers has arrived.
 	listReceived bool
@@ -209,7 +209,7 @@
 func (r *Roster) entry(now time.Time, id message.RouterID) *entry {
 	e := r.peers[id]
 	if e == nil {
-		e = &entry{beliefSince: now}
+		e = &entry{stateSince: now}
 		e.ID = id
 		r.peers[id] = e
 		r.peerList = append(r.peerList, e)
@@ -250,11 +250,11 @@
 		r.merge(now, record)
 	}
 	var out []Outgoing
-	if m.Kind == message.PingAsk {
+	if m.Kind == message.PingRequest {
 		out = append(out, r.answer(e, m)...)
 	}
 	if r.startSync(now, e, m.Digest, firstContact) {
-		out = append(out, Outgoing{Peer: e.Peer, Ping: r.ping(message.PingAsk, true)})
+		out = append(out, Outgoing{Peer: e.Peer, Ping: r.ping(message.PingRequest, true)})
 	}
 	return out
 }
@@ -271,7 +271,7 @@
 	r.unanswered = nil
 	for _, id := range r.suspects {
 		if e := r.peers[id]; e != nil {
-			e.beliefSince = now
+			e.stateSince = now
 		}
 	}
 }
@@ -296,7 +296,7 @@
 			}
 		}
 	}
-	out := []Outgoing{{Peer: m.From.Peer, Ping: r.ping(message.PingAnswer, false)}}
+	out := []Outgoing{{Peer: m.From.Peer, Ping: r.ping(message.PingReply, false)}}
 	for i, part := range chunks(all) {
 		if i > 0 {
 			out = append(out, Outgoing{Peer: m.From.Peer, Ping: r.ping(message.PingNotice, false)})
@@ -311,17 +311,17 @@
 // one whose group has sent minMismatches different digests in a row. Routers of other
 // availability zones come into question only while the local zone agrees.
 func (r *Roster) startSync(now time.Time, e *entry, digest uint64, firstContact bool) bool {
-	differing := &r.near.mismatches
+	mismatches := &r.near.mismatches
 	if e.Zone != r.self.Zone {
-		differing = &r.far.mismatches
+		mismatches = &r.far.mismatches
 	}
-	*differing++
+	*mismatches++
 	if digest == r.digest {
-		*differing = 0
+		*mismatches = 0
 	}
 	tooSoon := now.Sub(r.lastSync) < syncInterval || now.Sub(r.lastUpdate) < settleDelay
 	awaitsLocalZone := e.Zone != r.self.Zone && r.near.mismatches > 0
-	if *differing == 0 || !firstContact && (*differing < minMismatches || tooSoon || awaitsLocalZone) {
+	if *mismatches == 0 || !firstContact && (*mismatches < minMismatches || tooSoon || awaitsLocalZone) {
 		return false
 	}
 	r.near.mismatches, r.far.mismatches = 0, 0
@@ -335,7 +335,7 @@
 		r.refute(n)
 		return
 	}
-	if r.peers[n.ID] == nil && n.Belief == message.Gone {
+	if r.peers[n.ID] == nil && n.State == message.Gone {
 		return
 	}
 	e := r.entry(now, n.ID)
@@ -349,23 +349,23 @@
 	r.noteChange(e, n)
 	r.digest ^= e.digestPart()
 	e.RouterRecord = n
-	e.beliefSince = now
+	e.stateSince = now
 	r.lastUpdate = now
 	r.digest ^= e.digestPart()
-	if n.Belief == message.Suspected {
+	if n.State == message.Suspected {
 		r.suspects = append(r.suspects, n.ID)
 	}
 	r.queueUpdate(n.ID)
 }
 
-// noteChange keeps a record for Changes if its belief or incarnation is a new one.
+// noteChange keeps a record for Changes if its state or incarnation is a new one.
 func (r *Roster) noteChange(e *entry, n message.RouterRecord) {
-	if !e.hasRecord() || e.Incarnation != n.Incarnation || e.Belief != n.Belief {
+	if !e.hasRecord() || e.Incarnation != n.Incarnation || e.State != n.State {
 		r.changes = append(r.changes, n)
 	}
 }
 
-// Changes returns the records that changed the belief about a router since the last call: it
+// Changes returns the records that changed the state of a router since the last call: it
 // was discovered, has restarted, is suspected, has refuted a suspicion, or is gone.
 func (r *Roster) Changes() []message.RouterRecord {
 	list := r.changes
@@ -382,7 +382,7 @@
 		next.Incarnation = n.Incarnation + 1
 	case n.Incarnation < next.Incarnation, n.Version < next.Version:
 		return
-	case n.Version == next.Version && n.Belief == message.Alive:
+	case n.Version == next.Version && n.State == message.Alive:
 		return
 	default:
 		next.Version = n.Version + 1
@@ -404,7 +404,7 @@
 	if c := cmp.Compare(a.Version, b.Version); c != 0 {
 		return c > 0
 	}
-	return a.Belief > b.Belief
+	return a.State > b.State
 }
 
 // queueUpdate marks a router's record to be forwarded with the next Gossip.
@@ -418,7 +418,7 @@
 func (r *Roster) ping(kind message.PingKind, all bool) message.Ping {
 	return message.Ping{
 		From: r.self, Kind: kind, Revisions: r.revisions, Digest: r.digest, WantAll: all,
-		Quarantine: r.quarantineDigest,
+		QuarantineDigest: r.quarantineDigest,
 	}
 }
 
