--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -91,15 +91,15 @@
 	// which that ends.
 	ColdLeft  time.Duration
 	ColdUntil time.Time
-	// Lapsed is when the target's entry lapsed, that is, when its TTL ran out while the store
-	// was unavailable; zero for a listed target. The target may be used without an entry until
-	// Until, or until the store is back if Until is zero.
-	Lapsed, Until time.Time
+	// LapsedAt is when the target's entry lapsed, that is, when its TTL ran out while the
+	// store was unavailable; zero for a listed target. The target may be used without an entry
+	// until UsableUntil, or until the store is back if UsableUntil is zero.
+	LapsedAt, UsableUntil time.Time
 }
 
 // Closed reports whether a target gets no new requests.
 func (t Target) Closed(now time.Time) bool {
-	return t.Leaving || t.Drained || !t.Until.IsZero() && !now.Before(t.Until)
+	return t.Leaving || t.Drained || !t.UsableUntil.IsZero() && !now.Before(t.UsableUntil)
 }
 
 // target is a Target with the state that this router keeps about it.
@@ -114,21 +114,21 @@
 	health
 	// running holds this router's requests that were sent to the target and have not ended.
 	running map[*Ticket]struct{}
-	// waiting holds this router's requests that the target has not started to answer, oldest
+	// unstarted holds this router's requests that the target has not started to answer, oldest
 	// first.
-	waiting []*Ticket
+	unstarted []*Ticket
 	// coldUntil is the latest time at which the target is still cold, recent counts the
 	// requests sent to it lately.
-	coldUntil time.Time
-	recent    coldstart.Window
+	coldUntil   time.Time
+	recentSends coldstart.Window
 	// serviceTime is the average time of requests that found a free slot; 0 if unknown.
 	serviceTime time.Duration
 	// reported is what the target reported about itself in its answers; nil if nothing.
 	reported *advice.Record
 	// probe is the first request sent after a backoff, until the target takes it.
 	probe *Ticket
-	// consecutiveRefusals is the number of consecutive requests that the target rejected
-	// without asking for a backoff.
+	// consecutiveRefusals is the number of requests in a row that the target rejected without
+	// asking for a backoff.
 	consecutiveRefusals int
 }
 
@@ -141,7 +141,7 @@
 	targets map[string]*target
 	// services has the targets of each service, sorted by id.
 	services map[string][]*target
-	// paces has the learnt prefill times of the engines of each service.
+	// paces has the models of prefill times that were learnt for each service's engines.
 	paces map[string]*pace.Model
 	queue []*Ticket
 	// lastDispatch is when the queue was last searched.
@@ -149,8 +149,8 @@
 	shares       shares
 	// peers is what other routers reported.
 	peers *view.View
-	// runningPeers is the number of other routers believed to be runningPeers, servingPeers
-	// how many of those serve callers.
+	// runningPeers is the number of other routers believed to be running, servingPeers how
+	// many of those serve callers.
 	runningPeers, servingPeers int
 	level                      level
 	budget                     budget
@@ -158,16 +158,17 @@
 	// good, suspect, near and missing are scratch space for choosing a target.
 	good, suspect, near []*target
 	missing             []int
-	// notify is called with loads that other routers should learn at once; nil if not set.
-	notify        func(target string, now, added view.Load)
-	notifyLimiter notifyLimiter
+	// onLongPrompt is called with loads that other routers should learn at once; nil if not
+	// set.
+	onLongPrompt      func(target string, now, added view.Load)
+	longPromptLimiter notifyLimiter
 	// coldAllowance returns how many requests this router may send to a cold target in a
 	// second; a nil function allows none. coldSkips counts how often a target was skipped for
 	// that.
-	coldAllowance func(now time.Time, target string, r coldstart.Rate) int
-	coldSkips     int64
-	advice        advice.Records
-	against       SentAgainstAdvice
+	coldAllowance     func(now time.Time, target string, r coldstart.Rate) int
+	coldSkips         int64
+	advice            advice.Records
+	sentAgainstAdvice SentAgainstAdvice
 	// backoffs counts the backoffs that this router started without a target having asked for
 	// one.
 	backoffs int64
@@ -176,17 +177,17 @@
 // New returns the state of a router in an availability zone, without any targets.
 func New(now time.Time, zone string, limits Limits, random *rand.Rand) *State {
 	return &State{
-		zone:          zone,
-		limits:        limits,
-		random:        random,
-		targets:       map[string]*target{},
-		services:      map[string][]*target{},
-		paces:         map[string]*pace.Model{},
-		throttle:      throttle.New(tickInterval, maxWaitingPerOrganisation),
-		shares:        newShares(limits.QuotaWindow),
-		peers:         view.New(now, limits.QuotaWindow),
-		notifyLimiter: notifyLimiter{remaining: 1, updated: now},
-		budget:        budget{start: now, histories: map[string]*history{}},
+		zone:              zone,
+		limits:            limits,
+		random:            random,
+		targets:           map[string]*target{},
+		services:          map[string][]*target{},
+		paces:             map[string]*pace.Model{},
+		throttle:          throttle.New(tickInterval, maxWaitingPerOrganisation),
+		shares:            newShares(limits.QuotaWindow),
+		peers:             view.New(now, limits.QuotaWindow),
+		longPromptLimiter: notifyLimiter{remaining: 1, updatedAt: now},
+		budget:            budget{start: now, histories: map[string]*history{}},
 	}
 }
 
@@ -233,7 +234,7 @@
 // another one: the target has sent nothing for the time silent, the retry budget allows it,
 // and there is another usable target.
 func (s *State) MaySwitch(now time.Time, t *Ticket, silent time.Duration) bool {
-	if t.target == nil || now.Sub(t.Arrived)-time.Duration(t.Heard.Load()) < silent {
+	if t.target == nil || now.Sub(t.Arrived)-time.Duration(t.LastReceived.Load()) < silent {
 		return false
 	}
 	if !s.budget.allowRetry(now, t.Service, s.limits, s.routers()) {
@@ -280,27 +281,27 @@
 	t.target = to
 	t.sentAt = now
 	t.foundFreeSlot = !t.Engine && s.loadOf(now, to).Running < to.Slots
-	t.load = view.Load{PendingTokens: p.missTokens, Running: 1, MemoryTokens: t.unsharedTokens()}
+	t.load = view.Load{PendingTokens: p.uncachedTokens, Running: 1, MemoryTokens: t.unsharedTokens()}
 	t.work = p.work
 	to.localLoad = to.localLoad.Plus(t.load)
-	to.waiting = append(to.waiting, t)
+	to.unstarted = append(to.unstarted, t)
 	to.running[t] = struct{}{}
 	to.cache.Add(now, t.Parts)
-	to.recent.Add(now)
+	to.recentSends.Add(now)
 	s.noteSent(now, t, to)
 	if t.Engine {
 		s.shares.addServed(now, t.Organisation, t.tokens())
 		s.throttle.RecordSent(t.Organisation, t.size())
 	}
-	if s.notify != nil && s.notifyLimiter.allow(now, p.missTokens, s.servingPeers+1) {
-		s.notify(to.incarnation, to.localLoad, t.load)
+	if s.onLongPrompt != nil && s.longPromptLimiter.allow(now, p.uncachedTokens, s.servingPeers+1) {
+		s.onLongPrompt(to.incarnation, to.localLoad, t.load)
 	}
-	d := Decision{Target: to.Target, Waited: now.Sub(t.Arrived), Unread: s.loadOf(now, to).PendingTokens, Miss: p.missTokens}
+	d := Decision{Target: to.Target, Waited: now.Sub(t.Arrived), PendingTokens: s.loadOf(now, to).PendingTokens, UncachedTokens: p.uncachedTokens}
 	if p.source != nil {
-		d.Source, d.Fetched = p.source.Target, p.fetchTokens
+		d.Source, d.FetchedTokens = p.source.Target, p.fetchTokens
 	}
-	if !to.Lapsed.IsZero() {
-		d.Lapsed = now.Sub(to.Lapsed)
+	if !to.LapsedAt.IsZero() {
+		d.LapsedFor = now.Sub(to.LapsedAt)
 	}
 	t.Decision <- d
 }
@@ -364,8 +365,8 @@
 }
 
 func (t *target) forget(k *Ticket) {
-	if i := slices.Index(t.waiting, k); i >= 0 {
-		t.waiting = slices.Delete(t.waiting, i, i+1)
+	if i := slices.Index(t.unstarted, k); i >= 0 {
+		t.unstarted = slices.Delete(t.unstarted, i, i+1)
 	}
 }
 
--- a/internal/balance/loop.go
+++ b/internal/balance/loop.go
@@ -31,17 +31,18 @@
 	state  *State
 	events chan Event
 	gates  atomic.Pointer[map[string]*throttle.Gate]
-	// busy and coalesce hold the bits of the state's float64 values, for other goroutines.
-	busy, coalesce atomic.Uint64
-	meter          meter
-	onResume       func(s *State, now time.Time, missed time.Duration)
+	// cpuUtilisation and coalesceLevel hold the bits of the state's float64 values, for other
+	// goroutines.
+	cpuUtilisation, coalesceLevel atomic.Uint64
+	meter                         meter
+	onResume                      func(s *State, now time.Time, missed time.Duration)
 }
 
 // meter measures the fraction of its cores that the router uses.
 type meter struct {
-	// used returns the processor time used since the start; nil if that is unknown. cores is
-	// the number of cores that the router may use.
-	used     func() time.Duration
+	// cpuTime returns the processor time used since the start; nil if that is unknown. cores
+	// is the number of cores that the router may use.
+	cpuTime  func() time.Duration
 	cores    float64
 	ticks    int
 	lastAt   time.Time
@@ -52,10 +53,10 @@
 // the process had to wait for the processor, however little time it was charged for.
 func (m *meter) measure(now time.Time, s *State) {
 	m.ticks++
-	if m.used == nil || m.cores <= 0 || m.ticks%meterTicks != 0 {
+	if m.cpuTime == nil || m.cores <= 0 || m.ticks%meterTicks != 0 {
 		return
 	}
-	used := m.used()
+	used := m.cpuTime()
 	passed := now.Sub(m.lastAt)
 	switch {
 	case m.lastAt.IsZero() || passed <= 0:
@@ -67,15 +68,15 @@
 	m.lastAt, m.lastUsed = now, used
 }
 
-// Meter makes the loop measure how much of a number of cores the router uses; used returns the
-// processor time used since the start. It must be called before Run.
-func (l *Loop) Meter(used func() time.Duration, cores float64) {
-	l.meter.used, l.meter.cores = used, cores
+// SetMeter makes the loop measure how much of a number of cores the router uses; used returns
+// the processor time used since the start. It must be called before Run.
+func (l *Loop) SetMeter(used func() time.Duration, cores float64) {
+	l.meter.cpuTime, l.meter.cores = used, cores
 }
 
-// OnAwake sets a function that is called, like an event, when the box resumes after it was
+// OnResume sets a function that is called, like an event, when the box resumes after it was
 // suspended; missed is the time for which it was. It must be called before Run.
-func (l *Loop) OnAwake(f func(s *State, now time.Time, missed time.Duration)) { l.onResume = f }
+func (l *Loop) OnResume(f func(s *State, now time.Time, missed time.Duration)) { l.onResume = f }
 
 // checkSuspended detects that the box was suspended, before any decision is based on the time.
 func (l *Loop) checkSuspended() {
@@ -110,8 +111,8 @@
 			now := clock.Now()
 			l.state.Tick(now)
 			l.meter.measure(now, l.state)
-			l.busy.Store(math.Float64bits(l.state.throttle.CPUUtilisation()))
-			l.coalesce.Store(math.Float64bits(l.state.throttle.CoalesceLevel()))
+			l.cpuUtilisation.Store(math.Float64bits(l.state.throttle.CPUUtilisation()))
+			l.coalesceLevel.Store(math.Float64bits(l.state.throttle.CoalesceLevel()))
 			l.publish(l.state.gatesAt(now))
 		}
 	}
@@ -126,16 +127,17 @@
 	l.gates.Store(&gates)
 }
 
-// Busy returns the fraction of its cores that the router used in the last measurement.
-func (l *Loop) Busy() float64 { return math.Float64frombits(l.busy.Load()) }
+// CPUUtilisation returns the fraction of its cores that the router used in the last
+// measurement.
+func (l *Loop) CPUUtilisation() float64 { return math.Float64frombits(l.cpuUtilisation.Load()) }
 
-// Coalesce returns how much streams should coalesce events to save processor time, from 0 (not
-// at all) to 1 (as long as callers accept).
-func (l *Loop) Coalesce() float64 { return math.Float64frombits(l.coalesce.Load()) }
+// CoalesceLevel returns how much streams should coalesce events to save processor time, from 0
+// (not at all) to 1 (as long as callers accept).
+func (l *Loop) CoalesceLevel() float64 { return math.Float64frombits(l.coalesceLevel.Load()) }
 
-// Throttles reports whether the requests of any organisation are shed. Any goroutine may call
+// Throttling reports whether the requests of any organisation are shed. Any goroutine may call
 // it.
-func (l *Loop) Throttles() bool { return l.gates.Load() != nil }
+func (l *Loop) Throttling() bool { return l.gates.Load() != nil }
 
 func (l *Loop) gate(organisation string) *throttle.Gate {
 	gates := l.gates.Load()
@@ -145,9 +147,9 @@
 	return (*gates)[organisation]
 }
 
-// Crowded returns why another request of an organisation to engines is to be shed before it is
+// Check returns why another request of an organisation to engines is to be shed before it is
 // parsed, or "" if it is not. Any goroutine may call it.
-func (l *Loop) Crowded(organisation string, o throttle.RequestSize) Reason {
+func (l *Loop) Check(organisation string, o throttle.RequestSize) Reason {
 	if g := l.gate(organisation); g != nil {
 		return Reason(g.Check(o))
 	}
@@ -166,9 +168,9 @@
 // Post queues an event, to be applied soon and in order.
 func (l *Loop) Post(e Event) { l.events <- e }
 
-// Ask queues an event and waits until it has been applied; it returns false if ctx ended
-// before that.
-func (l *Loop) Ask(ctx context.Context, e Event) bool {
+// PostAndWait queues an event and waits until it has been applied; it returns false if ctx
+// ended before that.
+func (l *Loop) PostAndWait(ctx context.Context, e Event) bool {
 	done := make(chan struct{})
 	l.Post(func(s *State, now time.Time) {
 		e(s, now)
--- a/internal/forward/coalesce_test.go
+++ b/internal/forward/coalesce_test.go
@@ -56,12 +56,12 @@
 			s.SetCPUUtilisation(now, busy, 1)
 		})
 		if busy > 0 {
-			Eventually(loop.Coalesce).Should(BeNumerically(">", 0))
+			Eventually(loop.CoalesceLevel).Should(BeNumerically(">", 0))
 		}
-		f := forward.New(forward.Dialect{RequestID: "X-Id", Deadline: "X-Wait-Ms", ExpectTarget: "X-Expect"}, httptarget.New(g), loop, noSuspects{}, logr.Discard(), discard{})
+		f := forward.New(forward.HeaderNames{RequestID: "X-Id", Deadline: "X-Wait-Ms", ExpectTarget: "X-Expect"}, httptarget.New(g), loop, noSuspects{}, logr.Discard(), discard{})
 		caller := &recordingCaller{}
 		v := f.Forward(context.Background(), forward.Request{
-			ID: "r", Method: http.MethodPost, Target: "/", Host: "h", Service: "s", Arrived: time.Now(), Deadline: time.Now().Add(10 * time.Second),
+			ID: "r", Method: http.MethodPost, URI: "/", Host: "h", Service: "s", Arrived: time.Now(), Deadline: time.Now().Add(10 * time.Second),
 			Route: &routing.Route{Kind: routing.Streaming, Goal: time.Second, MaxPause: 400 * time.Millisecond, MaxAttempts: 1},
 		}, caller)
 		Expect(v.Status).To(Equal(http.StatusOK))
--- a/internal/forward/leaving_test.go
+++ b/internal/forward/leaving_test.go
@@ -20,7 +20,7 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// headerLeaving and headerNotRun are the names of headers in these tests' dialect.
+// headerLeaving and headerNotRun are the names of headers in these tests.
 const headerLeaving, headerNotRun = "X-Leaving", "X-Not-Run"
 
 // testForwarder is a forwarder with its control loop, for targets that the test runs.
@@ -38,7 +38,7 @@
 	limits := balance.Limits{RetryRatio: 1, RetrySlack: 100, RetryWindow: time.Second, QuotaWindow: time.Second}
 	loop := balance.NewLoop(balance.New(time.Now(), "z", limits, rand.New(rand.NewPCG(1, 1))))
 	g.GoContext(loop.Run)
-	d := forward.Dialect{
+	d := forward.HeaderNames{
 		RequestID: "X-Id", Deadline: "X-Wait-Ms", ExpectTarget: "X-Expect", NotRun: headerNotRun, Leaving: headerLeaving,
 	}
 	return &testForwarder{loop: loop, Forwarder: forward.New(d, httptarget.New(g), loop, noSuspects{}, logr.Discard(), discard{})}
@@ -47,17 +47,17 @@
 // setTargets replaces the list of targets.
 func (f *testForwarder) setTargets(t *testing.T, list ...balance.Target) {
 	t.Helper()
-	if !f.loop.Ask(t.Context(), func(s *balance.State, now time.Time) { s.SetTargets(now, list) }) {
+	if !f.loop.PostAndWait(t.Context(), func(s *balance.State, now time.Time) { s.SetTargets(now, list) }) {
 		t.Fatal("the control loop did not apply the list of targets")
 	}
 }
 
-// send forwards a request and returns its verdict.
-func (f *testForwarder) send(kind routing.Kind) forward.Verdict {
+// send forwards a request and returns its result.
+func (f *testForwarder) send(kind routing.Kind) forward.Result {
 	f.requests++
 	now := time.Now()
 	return f.Forward(context.Background(), forward.Request{
-		ID: fmt.Sprint("r", f.requests), Method: http.MethodPost, Target: "/", Host: "h", Service: "s",
+		ID: fmt.Sprint("r", f.requests), Method: http.MethodPost, URI: "/", Host: "h", Service: "s",
 		Arrived: now, Deadline: now.Add(10 * time.Second),
 		Route: &routing.Route{Kind: kind, Goal: time.Second, MaxPause: time.Second, MaxAttempts: 2},
 	}, discard{})
@@ -140,7 +140,7 @@
 	lists := [][]balance.Target{{a, b}, {b}, {b, a}}
 	for i := range requests {
 		f.setTargets(t, lists[i%len(lists)]...)
-		if v := f.send(kind); v.Status != http.StatusOK || v.Cut {
+		if v := f.send(kind); v.Status != http.StatusOK || v.Truncated {
 			t.Fatalf("status %d, reason %q", v.Status, v.Reason)
 		}
 	}
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -11,8 +11,8 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// Dialect holds the names of the headers that a deployment uses.
-type Dialect struct {
+// HeaderNames holds the names of the headers that a deployment uses.
+type HeaderNames struct {
 	// RequestID carries the request's id, in requests and answers.
 	RequestID string
 	// Deadline carries the number of milliseconds for which the caller waits for the answer.
@@ -28,8 +28,8 @@
 	// FetchFrom carries the address of an engine from which the target can fetch the
 	// parts of the prompt that it has not cached; empty if the deployment has no such header.
 	FetchFrom string
-	// LastEvent carries the id of the event after which a stream is to resume.
-	LastEvent string
+	// LastEventID carries the id of the event after which a stream is to resume.
+	LastEventID string
 	// PromptSize carries "INPUT TOKENS,MAXIMUM OUTPUT TOKENS", PromptParts the parts of
 	// the prompt in order as "ID:TOKENS" separated by commas, and OutputHint the expected
 	// number of output tokens.
@@ -43,8 +43,8 @@
 type Request struct {
 	ID     string
 	Method string
-	// Target is the path and query exactly as the caller sent them.
-	Target       string
+	// URI is the path and query exactly as the caller sent them.
+	URI          string
 	Host         string
 	Route        *routing.Route
 	Service      string
@@ -55,16 +55,17 @@
 	Arrived time.Time
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// Engine is set if the service's targets are model engines.
-	Engine bool
-	Parts  []prefix.Part
+	// ToEngine is set if the service's targets are model engines.
+	ToEngine bool
+	Parts    []prefix.Part
 	// Input is the number of prompt tokens, Output the maximum number of output tokens.
 	Input, Output int
-	// LastEvent is the id of the last event that the caller has received; empty if none.
-	LastEvent string
-	// Gone reports whether the caller has disconnected, checked on its connection because
-	// on a busy box the request's context ends late. It is nil if that cannot be checked.
-	Gone func() bool
+	// LastEventID is the id of the last event that the caller has received; empty if none.
+	LastEventID string
+	// CallerGone reports whether the caller has disconnected, checked on its connection
+	// because on a busy box the request's context ends late. It is nil if that cannot be
+	// checked.
+	CallerGone func() bool
 }
 
 // Expires returns when the request is abandoned: at its caller's deadline or its route's
@@ -91,14 +92,14 @@
 	ProcessExited(ctx context.Context, address, instance string) bool
 }
 
-// Verdict is how a request ended, with what is needed to answer its caller and to log it.
-type Verdict struct {
-	// Status is the status that was sent, or that is to be sent if Begun is false.
+// Result is how a request ended, with what is needed to answer its caller and to log it.
+type Result struct {
+	// Status is the status that was sent, or that is to be sent if HeadSent is false.
 	Status int
-	// Begun is set if the answer's head has been sent to the caller.
-	Begun bool
-	// Cut is set if the answer broke off: the caller must not take it for a complete one.
-	Cut bool
+	// HeadSent is set if the answer's head has been sent to the caller.
+	HeadSent bool
+	// Truncated is set if the answer broke off and must not look complete to the caller.
+	Truncated bool
 	// Reason says why the request was refused or failed; empty if a target's answer was
 	// forwarded.
 	Reason Reason
@@ -106,24 +107,24 @@
 	RetryAfter time.Duration
 	// Sends is the number of times that the request was sent to a target.
 	Sends int
-	// Waited is the time from arrival to the choice of a target, First the time from
-	// arrival to the first part of the answer's body; 0 if none came.
-	Waited, First time.Duration
-	// Target is the id of the last target that was chosen.
-	Target string
-	// Unread is the number of prompt tokens that the target still had to process when it
-	// was chosen (its prefill backlog), including this request's. Miss is the number of
-	// this request's prompt tokens among them: those neither cached there nor fetched.
-	Unread, Miss int
-	// Fetched is the number of this request's prompt tokens that the target could fetch
-	// from another engine's cache.
-	Fetched int
-	// Lapsed is how long ago the target's entry had lapsed, that is, its TTL ran out while
+	// QueueTime is the time from arrival to the choice of a target. TimeToFirstByte is the
+	// time from arrival to the first part of the answer's body; 0 if none came.
+	QueueTime, TimeToFirstByte time.Duration
+	// TargetID is the id of the last target that was chosen.
+	TargetID string
+	// PendingTokens is the number of prompt tokens that the target still had to process when
+	// it was chosen (its prefill backlog), including this request's. UncachedTokens is the
+	// number of this request's among them: those neither cached there nor fetched.
+	PendingTokens, UncachedTokens int
+	// FetchableTokens is the number of this request's prompt tokens that the target could
+	// fetch from another engine's cache.
+	FetchableTokens int
+	// LapsedFor is how long ago the target's entry had lapsed, that is, its TTL ran out while
 	// the store was unavailable; 0 if it was listed.
-	Lapsed time.Duration
-	// Content is a digest of the request's content if the request was refused because it
+	LapsedFor time.Duration
+	// ContentDigest is a digest of the request's content if the request was refused because it
 	// is quarantined, else empty.
-	Content string
+	ContentDigest string
 }
 
 // Reason is why a request was refused, failed or was retried.
@@ -131,17 +132,21 @@
 
 // The reasons.
 const (
-	ReasonFull     Reason = Reason(balance.Full)
-	ReasonResting  Reason = Reason(balance.BackingOff)
+	// ReasonQueueFull means that the queue was full, or that no target had room in time.
+	ReasonQueueFull Reason = Reason(balance.Full)
+	// ReasonTargetsBackingOff means that all targets that could take the request back off.
+	ReasonTargetsBackingOff Reason = Reason(balance.BackingOff)
+	// ReasonNoTarget means that no target of the service takes requests.
 	ReasonNoTarget Reason = Reason(balance.NoTarget)
-	// ReasonCrowded means that the organisation's queue is full and ReasonBusy that the
-	// router is short of processor time. The request was rejected before parsing.
-	ReasonCrowded Reason = Reason(balance.OrganisationQueueFull)
-	ReasonBusy    Reason = Reason(balance.RouterBusy)
+	// ReasonOrganisationQueueFull means that too many requests of the organisation wait,
+	// and ReasonRouterBusy that the router is short of processor time. The request was rejected
+	// before parsing.
+	ReasonOrganisationQueueFull Reason = Reason(balance.OrganisationQueueFull)
+	ReasonRouterBusy            Reason = Reason(balance.RouterBusy)
 	// ReasonDeadline means that the request's deadline passed.
 	ReasonDeadline Reason = "deadline"
-	// ReasonGone means that the caller disconnected.
-	ReasonGone Reason = "caller-gone"
+	// ReasonCallerGone means that the caller disconnected.
+	ReasonCallerGone Reason = "caller-gone"
 	// ReasonRefused means that a target answered that it did not run the request.
 	ReasonRefused Reason = "target-refused"
 	// ReasonUnreachable means that no connection to a target could be made.
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -56,12 +56,12 @@
 	defer x.ticket.OnLost(nil)
 	answer, err := x.sender.Send(ctx, to.Address, httptarget.Request{
 		Method: x.Method, Head: x.requestHead(to, x.deadline), Body: x.Body, Instance: to.Incarnation(),
-		ID: x.ID, IDHeader: x.dialect.RequestID,
+		ID: x.ID, IDHeader: x.headers.RequestID,
 	})
 	if err != nil {
 		return x.sendFailed(ctx, to, err)
 	}
-	x.verdict.Sends++
+	x.result.Sends++
 	x.answerStarted = false
 	x.readAdvice(to, answer)
 	f := x.forwardAnswer(ctx, answer, silence)
@@ -84,7 +84,7 @@
 func (x *inflight) sendFailed(ctx context.Context, to balance.Target, err error) *failure {
 	if errors.Is(err, httptarget.ErrNotSent) {
 		f := &failure{reason: ReasonUnreachable, result: balance.Unreachable, cause: err}
-		if errors.Is(err, httptarget.ErrNobodyListens) {
+		if errors.Is(err, httptarget.ErrConnectionRefused) {
 			x.suspects.RecordExit(to)
 		}
 		if ctx.Err() != nil {
@@ -93,7 +93,7 @@
 		x.endSend(f.result)
 		return f
 	}
-	x.verdict.Sends++
+	x.result.Sends++
 	f := &failure{reason: ReasonBroken, result: balance.Failed, mayHaveRun: true, cause: err}
 	if ctx.Err() != nil {
 		f = x.cancelledFailure(ctx, err)
@@ -111,7 +111,7 @@
 	case errors.Is(cause, errRestarted):
 		return &failure{reason: ReasonRestarted, result: balance.Failed, mayHaveRun: true, cause: err}
 	}
-	return &failure{reason: ReasonGone, result: balance.Abandoned, mayHaveRun: true, cause: err}
+	return &failure{reason: ReasonCallerGone, result: balance.Abandoned, mayHaveRun: true, cause: err}
 }
 
 // endSend tells the control thread how the current send ended.
@@ -124,10 +124,10 @@
 // the first piece of each send only: a message for each event of a stream would wake it
 // thousands of times a second.
 func (x *inflight) recordPiece() {
-	if x.verdict.First == 0 {
-		x.verdict.First = clock.Since(x.Arrived)
+	if x.result.TimeToFirstByte == 0 {
+		x.result.TimeToFirstByte = clock.Since(x.Arrived)
 	}
-	x.ticket.Heard.Store(clock.Since(x.ticket.Arrived).Nanoseconds())
+	x.ticket.LastReceived.Store(clock.Since(x.ticket.Arrived).Nanoseconds())
 	if x.answerStarted {
 		return
 	}
@@ -139,7 +139,7 @@
 // startSilenceTimer returns a timer that cancels the exchange when the target is silent for
 // too long and another one may take over. If no further send is allowed, it does nothing.
 func (x *inflight) startSilenceTimer(cancel context.CancelCauseFunc) *time.Timer {
-	if !x.Route.Repeatable() || x.verdict.Sends+1 >= x.Route.MaxAttempts {
+	if !x.Route.Repeatable() || x.result.Sends+1 >= x.Route.MaxAttempts {
 		return time.AfterFunc(clock.Until(x.deadline), func() {})
 	}
 	t := x.ticket
@@ -154,7 +154,7 @@
 
 // forwardAnswer forwards an answer, or returns why it could not.
 func (x *inflight) forwardAnswer(ctx context.Context, a *httptarget.Answer, silence *time.Timer) *failure {
-	if a.Header.Get(x.dialect.NotRun) != "" || a.Status == http.StatusMisdirectedRequest {
+	if a.Header.Get(x.headers.NotRun) != "" || a.Status == http.StatusMisdirectedRequest {
 		cause := errors.Errorf("status %d", a.Status)
 		if _, err := io.Copy(io.Discard, io.LimitReader(a, maxBufferedAnswer)); err != nil {
 			cause = errors.Wrap(err, cause.Error())
@@ -185,7 +185,7 @@
 	if a.Status >= http.StatusInternalServerError {
 		return &failure{reason: ReasonFailed, result: balance.Answered, mayHaveRun: true, errorAnswer: whole, cause: errors.Errorf("status %d", a.Status)}
 	}
-	if x.verdict.Begun {
+	if x.result.HeadSent {
 		return &failure{reason: ReasonFailed, result: balance.Answered, mayHaveRun: true, cause: errors.Errorf("status %d instead of the resumed stream", a.Status)}
 	}
 	x.writeAnswer(whole)
@@ -194,27 +194,27 @@
 
 // writeAnswer sends a buffered answer to the caller.
 func (x *inflight) writeAnswer(a *bufferedAnswer) {
-	x.verdict.Begun = true
-	x.verdict.Status = a.status
+	x.result.HeadSent = true
+	x.result.Status = a.status
 	x.caller.Head(a.status, a.header, int64(len(a.body)))
 	if err := x.caller.Write(a.body); err != nil {
-		x.verdict.Cut = true
-		x.verdict.Reason = ReasonGone
+		x.result.Truncated = true
+		x.result.Reason = ReasonCallerGone
 	}
 }
 
 // forwardUnbuffered forwards an answer of known length while it is being received.
 func (x *inflight) forwardUnbuffered(a *httptarget.Answer) *failure {
 	x.recordPiece()
-	x.verdict.Begun = true
-	x.verdict.Status = a.Status
+	x.result.HeadSent = true
+	x.result.Status = a.Status
 	x.caller.Head(a.Status, x.answerHeader(a.Header), a.Length())
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := a.Read(buffer)
 		if n > 0 {
 			if writeErr := x.caller.Write(buffer[:n]); writeErr != nil {
-				return &failure{reason: ReasonGone, result: balance.Abandoned, mayHaveRun: true, cause: writeErr}
+				return &failure{reason: ReasonCallerGone, result: balance.Abandoned, mayHaveRun: true, cause: writeErr}
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -237,7 +237,7 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if !x.verdict.Begun {
+			if !x.result.HeadSent {
 				x.startStream(a)
 			}
 			return nil
@@ -259,7 +259,7 @@
 // coalesce waits for further events of a stream, to forward them together, if the router is
 // short of processor time.
 func (x *inflight) coalesce(ctx context.Context) {
-	d := time.Duration(x.loop.Coalesce() * float64(x.Route.MaxPause*maxCoalescePercent/100))
+	d := time.Duration(x.loop.CoalesceLevel() * float64(x.Route.MaxPause*maxCoalescePercent/100))
 	if d > 0 {
 		group.SleepUntil(ctx, clock.Now().Add(d))
 	}
@@ -267,17 +267,17 @@
 
 // forwardBatch forwards a batch of whole events and restarts the silence timer.
 func (x *inflight) forwardBatch(a *httptarget.Answer, reader *eventReader, batch []byte, silence *time.Timer) *failure {
-	if x.forwardedEvents == 0 || !x.verdict.Begun {
+	if x.forwardedEvents == 0 || !x.result.HeadSent {
 		x.startStream(a)
 	}
 	x.recordPiece()
 	if err := x.caller.Write(batch); err != nil {
-		return &failure{reason: ReasonGone, result: balance.Abandoned, mayHaveRun: true, cause: err}
+		return &failure{reason: ReasonCallerGone, result: balance.Abandoned, mayHaveRun: true, cause: err}
 	}
 	x.ticket.Pieces.Add(1)
 	x.forwardedEvents += reader.batchCount
 	x.lastEventID = reader.lastID
-	if x.Route.Repeatable() && x.verdict.Sends < x.Route.MaxAttempts {
+	if x.Route.Repeatable() && x.result.Sends < x.Route.MaxAttempts {
 		silence.Reset(max(maxSilentPauses*x.Route.MaxPause, minSilence))
 		return nil
 	}
@@ -287,11 +287,11 @@
 
 // startStream sends the head of a stream to the caller, unless an earlier target's was sent.
 func (x *inflight) startStream(a *httptarget.Answer) {
-	if x.verdict.Begun {
+	if x.result.HeadSent {
 		return
 	}
-	x.verdict.Begun = true
-	x.verdict.Status = a.Status
+	x.result.HeadSent = true
+	x.result.Status = a.Status
 	x.caller.Head(a.Status, x.answerHeader(a.Header), -1)
 }
 
@@ -335,7 +335,8 @@
 // eventTerminator ends an event whose lines end in LF.
 var eventTerminator = []byte("\n\n")
 
-// eventEndOffset returns the offset just after the first whole event in b, or -1 if there is none.
+// eventEndOffset returns the offset just after the first whole event in b, or -1 if there is
+// none.
 func eventEndOffset(b []byte) int {
 	lf := bytes.Index(b, eventTerminator)
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -68,7 +68,7 @@
 	// Callers bounds what is taken on at a time; a bound of 0 means 1,000
 	// requests and 4,000 connections.
 	Callers ingress.Limits
-	Dialect forward.Dialect
+	Dialect forward.HeaderNames
 	Codec   catalog.Codec
 	Limits  balance.Limits
 	// Drain is for how long a target serves on that leaves; 0 means two seconds.
@@ -198,8 +198,8 @@
 	g.cold = coldstart.NewSenders(now, g.roster, self.ID)
 	state.SetColdAllowance(g.cold.SendLimit)
 	g.loop = balance.NewLoop(state)
-	g.loop.Meter(metrics.ProcessorTime, o.Capacity)
-	g.loop.OnAwake(g.awake)
+	g.loop.SetMeter(metrics.ProcessorTime, o.Capacity)
+	g.loop.OnResume(g.awake)
 	g.transport = httptarget.New(g.group)
 	forwarder := forward.New(o.Dialect, g.transport, g.loop, suspects{g}, o.Log, o.Metrics)
 	g.server = ingress.New(o.Dialect, forwarder, g.observer(), ingress.Limits{
@@ -237,7 +237,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			g.transport.Sweep(clock.Now())
+			g.transport.CloseExpired(clock.Now())
 		}
 	}
 }
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -53,7 +53,7 @@
 // beats does what is due towards the other routers.
 func (g *Gateway) beats(ctx context.Context) {
 	for next := clock.Now(); group.SleepUntil(ctx, next); next = clock.Now().Add(beatPeriod) {
-		g.loop.Ask(ctx, g.beat)
+		g.loop.PostAndWait(ctx, g.beat)
 	}
 }
 
@@ -71,8 +71,8 @@
 	g.found(now)
 	g.expireSuspects(now)
 	g.stopWaiting(now)
-	if expired := g.catalog.Expire(now); len(expired) > 0 {
-		g.Log.Info("lapsed targets given up", "era", revision.Era(g.catalog.Revision()), "revision", revision.Store(g.catalog.Revision()), "count", len(expired),
+	if expired := g.catalog.ExpireLapsed(now); len(expired) > 0 {
+		g.Log.Info("lapsed targets given up", "era", revision.Era(g.catalog.TargetsRevision()), "revision", revision.Store(g.catalog.TargetsRevision()), "count", len(expired),
 			"targets", expired[:min(len(expired), namesMost)])
 		s.SetTargets(now, g.catalog.Targets())
 	}
@@ -94,13 +94,13 @@
 	if len(list) > linesMost {
 		count := map[string]int{}
 		for _, r := range list {
-			count[r.Belief.String()]++
+			count[r.State.String()]++
 		}
 		g.Log.Info("many routers changed", "count", count)
 		return
 	}
 	for _, r := range list {
-		g.Log.Info("router believed "+r.Belief.String(), "router", r.ID, "peer", r.Peer, "incarnation", r.Incarnation, "version", r.Version)
+		g.Log.Info("router believed "+r.State.String(), "router", r.ID, "peer", r.Peer, "incarnation", r.Incarnation, "version", r.Version)
 	}
 }
 
@@ -146,7 +146,7 @@
 		period += sumPeriod
 	}
 	s.SetReportPeriod(period)
-	s.SetPeers(g.roster.Others(now), len(serving))
+	s.SetPeers(g.roster.CountOthers(now), len(serving))
 }
 
 // relays reports whether this router tells the sum of its zone. One that does not
@@ -226,21 +226,21 @@
 
 // say tells the roster how this router is.
 func (g *Gateway) say() {
-	g.roster.Say(message.RouterRecord{
+	g.roster.UpdateSelf(message.RouterRecord{
 		Ready: g.server.Ready(), Leaving: g.leaving, Serving: g.reporter.serving,
 		StoreTrouble: !g.trouble.IsZero(), Capacity: g.Capacity,
 	})
-	g.roster.Have(g.catalog.Newest(), g.isolation.state.Digest())
+	g.roster.SetRevisions(g.catalog.Newest(), g.isolation.state.Digest())
 }
 
 // spread tells some other routers at once what is new, who do the same.
 func (g *Gateway) spread(now time.Time) {
 	g.say()
-	g.send(g.roster.Spread(now))
+	g.send(g.roster.Gossip(now))
 }
 
 // send sends what the roster says.
-func (g *Gateway) send(list []roster.Send) {
+func (g *Gateway) send(list []roster.Outgoing) {
 	for _, s := range list {
 		g.tell(member.Member{Peer: s.Peer}, s.Ping)
 	}
@@ -261,22 +261,22 @@
 		m.Loads = append(m.Loads, targetLoad(id, l))
 	}
 	for id, parts := range r.SharedParts {
-		m.Kept = append(m.Kept, message.TargetParts{Target: id, Parts: parts})
+		m.SharedParts = append(m.SharedParts, message.TargetParts{Target: id, Parts: parts})
 	}
 	for name, u := range r.Usage {
-		m.Usage = append(m.Usage, message.OrganisationUsage{Organisation: name, Asked: u.Demand, Begun: u.Started, Waiting: u.Waiting})
+		m.Usage = append(m.Usage, message.OrganisationUsage{Organisation: name, Demand: u.Demand, Started: u.Started, Waiting: u.Waiting})
 	}
 	return m
 }
 
 func targetLoad(id string, l view.Load) message.TargetLoad {
-	return message.TargetLoad{Target: id, Unread: l.PendingTokens, Running: l.Running, Memory: l.MemoryTokens}
+	return message.TargetLoad{Target: id, PendingTokens: l.PendingTokens, Running: l.Running, MemoryTokens: l.MemoryTokens}
 }
 
 // tellLoad tells the serving routers at once what own requests put on a target, and
 // what the last one added.
 func (g *Gateway) tellLoad(target string, now, added view.Load) {
-	m := message.Loads{Loads: []message.TargetLoad{targetLoad(target, now)}, Added: []message.TargetLoad{targetLoad(target, added)}}
+	m := message.Loads{Loads: []message.TargetLoad{targetLoad(target, now)}, Deltas: []message.TargetLoad{targetLoad(target, added)}}
 	for _, to := range g.roster.Serving(clock.Now()) {
 		g.tell(roster.Member(to), m)
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -11,8 +11,8 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// naive finds the longest prefix by looking at all routes.
-func naive(routes []routing.Route, host, path string) string {
+// longestPrefix finds the longest matching prefix by linear search.
+func longestPrefix(routes []routing.Route, host, path string) string {
 	best := ""
 	for _, r := range routes {
 		if r.Host == host && strings.HasPrefix(path, r.Prefix) && len(r.Prefix) > len(best) {
@@ -22,7 +22,7 @@
 	return best
 }
 
-// TestLookup compares the table with a naive search.
+// TestLookup compares Lookup with a linear search.
 func TestLookup(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		piece := rapid.SampledFrom([]string{"a/", "b/", "aa/", "/"})
@@ -45,7 +45,7 @@
 		if r, ok := table.Lookup(h, p); ok {
 			got = r.Prefix
 		}
-		if want := naive(routes, h, p); got != want {
+		if want := longestPrefix(routes, h, p); got != want {
 			t.Fatalf("%s at %s: %q, want %q", p, h, got, want)
 		}
 	})
