--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -22,22 +22,22 @@
 
 	mu     sync.Mutex
 	open   int
-	unused list.List
+	idle   list.List
 	closed bool
-	// fresh holds the accepted connections from which nothing has been read yet.
-	fresh backlog.Queue
-	// short reports whether the router is short of CPU time.
-	short func() bool
+	// unread holds the accepted connections from which nothing has been read yet.
+	unread backlog.Queue
+	// overloaded reports whether the router is short of CPU time.
+	overloaded func() bool
 	// accepted is the number of connections accepted since rejections were last logged, and
-	// longest the longest time that one of them waited for its first read.
-	accepted int
-	longest  time.Duration
+	// longestWait the longest time that one of them waited for its first read.
+	accepted    int
+	longestWait time.Duration
 	// changed is signalled when a connection is closed or becomes idle.
 	changed sync.Cond
 }
 
-func newConns(limit int, short func() bool) *conns {
-	c := &conns{max: limit, short: short}
+func newConns(limit int, overloaded func() bool) *conns {
+	c := &conns{max: limit, overloaded: overloaded}
 	c.changed.L = &c.mu
 	return c
 }
@@ -48,7 +48,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.open >= s.max && !s.closed {
-		if !s.dropOldest() {
+		if !s.evictOldest() {
 			s.changed.Wait()
 		}
 	}
@@ -56,33 +56,34 @@
 	return !s.closed
 }
 
-// dropOldest closes the connection that has been idle for the longest, and returns false if
+// evictOldest closes the connection that has been idle for the longest, and returns false if
 // there is none. A connection with unread input, such as a request that has just arrived, does
 // not count as idle. mu must be held.
-func (s *conns) dropOldest() bool {
-	for s.unused.Len() > 0 {
-		c := s.unused.Front().Value.(*conn)
+func (s *conns) evictOldest() bool {
+	for s.idle.Len() > 0 {
+		c := s.idle.Front().Value.(*conn)
 		if !sockopt.Quiet(c.Conn) {
-			s.unused.Remove(c.place)
-			c.place = nil
+			s.idle.Remove(c.idleElement)
+			c.idleElement = nil
 			continue
 		}
-		s.drop(c)
+		s.evict(c)
 		return true
 	}
 	return false
 }
 
-// drop closes an idle connection. mu must be held.
-func (s *conns) drop(c *conn) {
-	s.unused.Remove(c.place)
-	c.place = nil
-	c.dropped = true
+// evict closes an idle connection. mu must be held.
+func (s *conns) evict(c *conn) {
+	s.idle.Remove(c.idleElement)
+	c.idleElement = nil
+	c.evicted = true
 	s.open--
 	// The connection is discarded, so an error from closing it does not matter.
 	_ = c.Conn.Close()
 }
 
+// close makes reserve return false, also in calls that are waiting.
 func (s *conns) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,40 +91,40 @@
 	s.changed.Broadcast()
 }
 
-// enter adds a connection that was just accepted to those waiting for their first read. It
+// enqueue adds a connection that was just accepted to those waiting for their first read. It
 // returns nil if the connection is to be rejected at once.
-func (s *conns) enter() *list.Element {
+func (s *conns) enqueue() *list.Element {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.accepted++
-	return s.fresh.Enqueue(clock.Now(), s.short())
+	return s.unread.Enqueue(clock.Now(), s.overloaded())
 }
 
-// forget removes a connection that was refused, or failed, before its first read.
-func (s *conns) forget(place *list.Element) {
+// remove removes a connection that was refused, or failed, before its first read.
+func (s *conns) remove(element *list.Element) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fresh.Remove(place)
+	s.unread.Remove(element)
 }
 
-// look removes a connection that is read for the first time, and reports whether it is to be
+// dequeue removes a connection that is read for the first time, and reports whether it is to be
 // rejected because it has waited too long for that.
-func (s *conns) look(place *list.Element) bool {
+func (s *conns) dequeue(element *list.Element) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	s.longest = max(s.longest, now.Sub(place.Value.(time.Time)))
-	return s.fresh.Dequeue(now, place, s.short())
+	s.longestWait = max(s.longestWait, now.Sub(element.Value.(time.Time)))
+	return s.unread.Dequeue(now, element, s.overloaded())
 }
 
-// arrivals returns the number of connections accepted since the last call and the longest time
-// that one waited for its first read, and resets both.
-func (s *conns) arrivals() (accepted int, longest time.Duration) {
+// takeArrivalStats returns the number of connections accepted since the last call and the
+// longest time that one waited for its first read, and resets both.
+func (s *conns) takeArrivalStats() (accepted int, longestWait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	accepted, longest = s.accepted, s.longest
-	s.accepted, s.longest = 0, 0
-	return accepted, longest
+	accepted, longestWait = s.accepted, s.longestWait
+	s.accepted, s.longestWait = 0, 0
+	return accepted, longestWait
 }
 
 // conn is a caller's connection.
@@ -131,22 +132,22 @@
 	net.Conn
 	server *Server
 	conns  *conns
-	// between is set between requests, when the next bytes start a new one. It needs no lock:
-	// between requests, only one goroutine of the HTTP server reads.
-	between bool
-	// fresh is the connection's element in conns.fresh, and looked is set by its first read,
-	// which removes it from there.
-	fresh  *list.Element
-	looked bool
-	// ahead holds the bytes that the listener read in advance and the HTTP server has not
+	// betweenRequests is set while no request is being read or served, when the next bytes
+	// start a new one. It needs no lock: only one goroutine of the HTTP server reads then.
+	betweenRequests bool
+	// unreadElement is the connection's element in conns.unread. The first read removes it from
+	// there and sets firstReadDone.
+	unreadElement *list.Element
+	firstReadDone bool
+	// readAhead holds the bytes that the listener read in advance and the HTTP server has not
 	// read yet.
-	ahead []byte
+	readAhead []byte
 
-	// The fields below are guarded by conns.mu. place is the connection's element in
-	// conns.unused, nil while a request is being served; dropped is set if the connection was
-	// closed to make room for another one.
-	place           *list.Element
-	dropped, closed bool
+	// The fields below are guarded by conns.mu. idleElement is the connection's element in
+	// conns.idle, nil if it is not idle; evicted is set if the connection was closed to make
+	// room for another one.
+	idleElement     *list.Element
+	evicted, closed bool
 }
 
 // connKey is the context key of the connection on which a request arrived.
@@ -157,10 +158,10 @@
 	return context.WithValue(ctx, connKey{}, raw)
 }
 
-// callerEnded reports whether the caller of a request has closed its connection. The HTTP
-// server detects that too, with a background read, but too late on a busy box: requests whose
-// callers had disconnected before they were read would still be forwarded.
-func callerEnded(ctx context.Context) bool {
+// callerDisconnected reports whether the caller of a request has closed its connection. The
+// HTTP server detects that too, with a background read, but too late on a busy box: requests
+// whose callers had disconnected before they were read would still be forwarded.
+func callerDisconnected(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	return ok && sockopt.Ended(c.Conn)
 }
@@ -169,57 +170,57 @@
 // ended.
 func connState(raw net.Conn, state http.ConnState) {
 	if c, ok := raw.(*conn); ok && state == http.StateIdle {
-		c.between = true
-		c.rest()
+		c.betweenRequests = true
+		c.markIdle()
 	}
 }
 
-// rest marks the connection as idle.
-func (c *conn) rest() {
+// markIdle marks the connection as idle.
+func (c *conn) markIdle() {
 	s := c.conns
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.dropped || c.closed || c.place != nil {
+	if c.evicted || c.closed || c.idleElement != nil {
 		return
 	}
-	c.place = s.unused.PushBack(c)
+	c.idleElement = s.idle.PushBack(c)
 	s.changed.Signal()
 }
 
-// use marks the connection as in use. It returns false if the connection has just been closed
-// to make room for another one.
-func (c *conn) use() bool {
+// markInUse marks the connection as in use. It returns false if the connection has just been
+// closed to make room for another one.
+func (c *conn) markInUse() bool {
 	s := c.conns
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.place != nil {
-		s.unused.Remove(c.place)
-		c.place = nil
+	if c.idleElement != nil {
+		s.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
-	return !c.dropped
+	return !c.evicted
 }
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	if !c.leave() {
+	if !c.release() {
 		return nil
 	}
 	return c.Conn.Close()
 }
 
-// leave removes the connection from conns. It returns false if that was done before.
-func (c *conn) leave() bool {
+// release removes the connection from conns. It returns false if that was done before.
+func (c *conn) release() bool {
 	s := c.conns
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.dropped || c.closed {
+	if c.evicted || c.closed {
 		return false
 	}
 	c.closed = true
-	s.fresh.Remove(c.fresh)
-	if c.place != nil {
-		s.unused.Remove(c.place)
-		c.place = nil
+	s.unread.Remove(c.unreadElement)
+	if c.idleElement != nil {
+		s.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 	s.open--
 	s.changed.Signal()
@@ -238,20 +239,20 @@
 // overdue reports, on the first read of a connection, whether the connection has waited too
 // long for CPU time. On later reads it returns false.
 func (c *conn) overdue() bool {
-	if c.looked {
+	if c.firstReadDone {
 		return false
 	}
-	c.looked = true
-	return c.conns.look(c.fresh)
+	c.firstReadDone = true
+	return c.conns.dequeue(c.unreadElement)
 }
 
-// receive returns the bytes that the listener read in advance, then reads from the connection.
-func (c *conn) receive(b []byte) (int, error) {
-	if len(c.ahead) == 0 {
+// readInput returns the bytes that the listener read in advance, then reads from the connection.
+func (c *conn) readInput(b []byte) (int, error) {
+	if len(c.readAhead) == 0 {
 		return c.Conn.Read(b)
 	}
-	n := copy(b, c.ahead)
-	c.ahead = c.ahead[n:]
+	n := copy(b, c.readAhead)
+	c.readAhead = c.readAhead[n:]
 	return n, nil
 }
 
@@ -260,18 +261,18 @@
 // 400 Bad Request.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.overdue() {
-		buffer := scratch.Get().(*[scratchSize]byte)
-		defer scratch.Put(buffer)
-		c.server.turnAway(tcpCaller{c.Conn}, buffer[:], copy(buffer[:], c.ahead))
+		buffer := scratchBuffers.Get().(*[scratchSize]byte)
+		defer scratchBuffers.Put(buffer)
+		c.server.reject(earlyTCPConn{c.Conn}, buffer[:], copy(buffer[:], c.readAhead))
 		return 0, io.EOF
 	}
 	for {
-		n, err := c.receive(b)
-		if !c.between || n == 0 || err != nil {
+		n, err := c.readInput(b)
+		if !c.betweenRequests || n == 0 || err != nil {
 			return n, err
 		}
-		c.between = false
-		if !c.use() {
+		c.betweenRequests = false
+		if !c.markInUse() {
 			return 0, io.EOF
 		}
 		refused, err := c.server.refuseQuickly(c, b[:n])
@@ -281,7 +282,7 @@
 		if !refused {
 			return n, nil
 		}
-		c.between = true
-		c.rest()
+		c.betweenRequests = true
+		c.markIdle()
 	}
 }
--- a/internal/ingress/conn_test.go
+++ b/internal/ingress/conn_test.go
@@ -13,8 +13,8 @@
 	"github.com/stepcroft/stepcroft/internal/group"
 )
 
-// caller is the caller's end of a connection.
-type caller struct {
+// callerConn is the caller's end of a connection.
+type callerConn struct {
 	net.Conn
 	answers *bufio.Reader
 }
@@ -28,17 +28,17 @@
 		address = newServer(g)
 	})
 
-	dial := func() caller {
+	dial := func() callerConn {
 		c, err := net.Dial("tcp", address)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(c.Close)
-		return caller{c, bufio.NewReader(c)}
+		return callerConn{c, bufio.NewReader(c)}
 	}
-	write := func(c caller, text string) {
+	write := func(c callerConn, text string) {
 		_, err := c.Write([]byte(text))
 		Expect(err).NotTo(HaveOccurred())
 	}
-	status := func(c caller) (int, error) {
+	status := func(c callerConn) (int, error) {
 		Expect(c.SetReadDeadline(time.Now().Add(5 * time.Second))).To(Succeed())
 		res, err := http.ReadResponse(c.answers, nil)
 		if err != nil {
@@ -52,7 +52,7 @@
 	whole := head("/plain/a", "k2", "r", 1, "") + "x"
 
 	It("are closed for a new one when they have been idle for the longest", func() {
-		var list []caller
+		var list []callerConn
 		for range maxConnections {
 			c := dial()
 			write(c, whole)
@@ -71,7 +71,7 @@
 	})
 
 	It("wait to be accepted while all others are in use", func() {
-		var list []caller
+		var list []callerConn
 		for range maxConnections {
 			c := dial()
 			write(c, whole[:len(whole)-1])
@@ -90,7 +90,7 @@
 	})
 
 	It("are not closed for a new one before their first request is answered", func() {
-		var list []caller
+		var list []callerConn
 		for range maxConnections {
 			list = append(list, dial())
 		}
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -20,23 +20,23 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// counting is a sender that fails all requests and counts them.
-type counting struct{ sends atomic.Int64 }
+// countingSender is a sender that fails all requests and counts them.
+type countingSender struct{ sends atomic.Int64 }
 
-func (*counting) ProcessExited(context.Context, string, string) bool { return false }
+func (*countingSender) ProcessExited(context.Context, string, string) bool { return false }
 
-func (s *counting) Send(context.Context, string, httptarget.Request) (*httptarget.Answer, error) {
+func (s *countingSender) Send(context.Context, string, httptarget.Request) (*httptarget.Answer, error) {
 	s.sends.Add(1)
 	return nil, errors.Wrap(httptarget.ErrBroken, "test")
 }
 
-// counted counts the requests that have ended.
-type counted struct {
-	ended
+// countingObserver counts the requests that have ended.
+type countingObserver struct {
+	ignoringObserver
 	n atomic.Int64
 }
 
-func (c *counted) Ended(forward.Request, forward.Result, time.Duration) { c.n.Add(1) }
+func (c *countingObserver) Ended(forward.Request, forward.Result, time.Duration) { c.n.Add(1) }
 
 var _ = Describe("A caller that disconnected before its request was read", func() {
 	It("has no request forwarded", func() {
@@ -56,8 +56,8 @@
 			s.Configure(table)
 			s.SetTargets(now, []balance.Target{{ID: "t", Service: "desk", Zone: "z", Slots: callers}})
 		})
-		sender, observer := &counting{}, &counted{}
-		f := forward.New(dialect, sender, loop, trusting{}, logr.Discard(), ended{})
+		sender, observer := &countingSender{}, &countingObserver{}
+		f := forward.New(dialect, sender, loop, noSuspects{}, logr.Discard(), ignoringObserver{})
 		s := ingress.New(dialect, f, observer, ingress.Limits{Requests: callers, Connections: callers}, logr.Discard())
 		s.Configure(table)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/ingress/headers.go
+++ b/internal/ingress/headers.go
@@ -23,31 +23,31 @@
 	return strings.TrimSpace(key)
 }
 
-// describe sets the fields of a request that come from its headers.
-func (s *Server) describe(out *forward.Request, r *http.Request) error {
+// applyHeaders sets the fields of a request that come from its headers.
+func (s *Server) applyHeaders(out *forward.Request, r *http.Request) error {
 	if out.ID == "" {
 		return errors.Errorf("header %s is missing", s.dialect.RequestID)
 	}
-	wait := defaultWait
+	timeout := defaultTimeout
 	if text := r.Header.Get(s.dialect.Deadline); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
 		if err != nil || ms < 0 || ms > math.MaxInt32 {
 			return errors.Errorf("header %s is not a number of milliseconds: %q", s.dialect.Deadline, text)
 		}
-		wait = time.Duration(ms * float64(time.Millisecond))
+		timeout = time.Duration(ms * float64(time.Millisecond))
 	}
-	out.Deadline = out.Arrived.Add(wait)
+	out.Deadline = out.Arrived.Add(timeout)
 	out.LastEventID = r.Header.Get(s.dialect.LastEvent)
-	out.Header = s.passedOn(r.Header)
-	out.Parts = promptParts(r.Header.Get(s.dialect.PromptParts))
+	out.Header = s.forwardedHeaders(r.Header)
+	out.Parts = parsePromptParts(r.Header.Get(s.dialect.PromptParts))
 	return nil
 }
 
-// passedOn returns the caller's headers that are forwarded to the target unchanged.
-func (s *Server) passedOn(h http.Header) http.Header {
+// forwardedHeaders returns the caller's headers that are forwarded to the target unchanged.
+func (s *Server) forwardedHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
-		if forward.HopByHop(name, h["Connection"]) || s.own(name) {
+		if forward.HopByHop(name, h["Connection"]) || s.withheld(name) {
 			continue
 		}
 		out[name] = values
@@ -55,10 +55,10 @@
 	return out
 }
 
-// own reports whether a caller's header is not forwarded: it is addressed to the router, the
-// router sets it itself, or only routers may set it. With some of the last kind, a caller could
-// make an engine reserve or move cache memory.
-func (s *Server) own(name string) bool {
+// withheld reports whether a caller's header is not forwarded: it is addressed to the router,
+// the router sets it itself, or only routers may set it. With some of the last kind, a caller
+// could make an engine reserve or move cache memory.
+func (s *Server) withheld(name string) bool {
 	switch name {
 	case s.dialect.RequestID, s.dialect.Deadline, s.dialect.LastEvent, "Authorization", "Expect":
 		return true
@@ -66,38 +66,38 @@
 	return slices.Contains(s.dialect.Reserved, name)
 }
 
-// sizes parses "INPUT TOKENS,MAXIMUM OUTPUT TOKENS" and the expected number of output tokens.
-// It returns 0 for a number that cannot be parsed. The expected number replaces the maximum if
-// it is lower.
-func sizes(size, hint string) (in, out int) {
+// parseSizes parses "INPUT TOKENS,MAXIMUM OUTPUT TOKENS" and the expected number of output
+// tokens. It returns 0 for a number that cannot be parsed. The expected number replaces the
+// maximum if it is lower.
+func parseSizes(size, hint string) (in, out int) {
 	first, second, _ := strings.Cut(size, ",")
-	in, out = count(first), count(second)
-	if guess := count(hint); guess > 0 && guess < out {
-		out = guess
+	in, out = parseTokens(first), parseTokens(second)
+	if expected := parseTokens(hint); expected > 0 && expected < out {
+		out = expected
 	}
 	return in, out
 }
 
-// tokensMost bounds the number of tokens read from a header. It is more than any engine's
+// maxTokens bounds the number of tokens read from a header. It is more than any engine's
 // memory holds, and low enough that sums do not overflow.
-const tokensMost = 1 << 30
+const maxTokens = 1 << 30
 
-// count parses a number of tokens; it returns 0 for anything else.
-func count(text string) int {
+// parseTokens parses a number of tokens; it returns 0 for anything else.
+func parseTokens(text string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || n < 0 {
 		return 0
 	}
-	return min(n, tokensMost)
+	return min(n, maxTokens)
 }
 
-// promptParts parses "ID:TOKENS,ID:TOKENS" and skips parts without an id or a colon.
-func promptParts(text string) []prefix.Part {
+// parsePromptParts parses "ID:TOKENS,ID:TOKENS" and skips parts without an id or a colon.
+func parsePromptParts(text string) []prefix.Part {
 	var parts []prefix.Part
 	for piece := range strings.SplitSeq(text, ",") {
 		id, tokens, ok := strings.Cut(strings.TrimSpace(piece), ":")
 		if ok && id != "" {
-			parts = append(parts, prefix.Part{ID: id, Tokens: count(tokens)})
+			parts = append(parts, prefix.Part{ID: id, Tokens: parseTokens(tokens)})
 		}
 	}
 	return parts
--- a/internal/ingress/headers_test.go
+++ b/internal/ingress/headers_test.go
@@ -14,11 +14,11 @@
 		"nothing":                 {},
 		"no numbers":              {size: "a,b", hint: "c"},
 		"negative numbers":        {size: "-5,-6", hint: "-1"},
-		"above the maximum":       {size: "9223372036854775807,9223372036854775807", in: tokensMost, out: tokensMost},
+		"above the maximum":       {size: "9223372036854775807,9223372036854775807", in: maxTokens, out: maxTokens},
 		"overflowing integer":     {size: "99999999999999999999,1", out: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if in, out := sizes(c.size, c.hint); in != c.in || out != c.out {
+			if in, out := parseSizes(c.size, c.hint); in != c.in || out != c.out {
 				t.Errorf("%d, %d, want %d, %d", in, out, c.in, c.out)
 			}
 		})
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -37,24 +37,24 @@
 	// idleTimeout is how long an idle connection is kept open. It is above the configured
 	// limit, up to which callers reuse their connections.
 	idleTimeout = 60 * time.Second
-	// maxHeader bounds the size of a request's headers, in bytes. It is above the configured
-	// limits in use, as headerTimeout is.
-	maxHeader = 64 << 10
+	// maxHeaderBytes bounds the size of a request's headers. It is above the configured limits
+	// in use, as headerTimeout is.
+	maxHeaderBytes = 64 << 10
 	// bodyTimeout bounds the time that reading a request's body takes.
 	bodyTimeout = 10 * time.Second
-	// defaultWait is the time to the deadline of a request that has no deadline header.
-	defaultWait = 30 * time.Second
-	// defaultBody is the maximum size of a request's body, in bytes, if none is configured.
-	defaultBody = 4 << 20
-	// maxHeld bounds the total size of the request bodies in memory, in bytes. It is a
-	// quarter of the memory of the smallest box.
-	maxHeld = 32 << 20
-	// notReadyAfter is the Retry-After of a router that has no configuration yet, or has too
+	// defaultTimeout is the time to the deadline of a request that has no deadline header.
+	defaultTimeout = 30 * time.Second
+	// defaultMaxBodyBytes is the maximum size of a request's body if none is configured.
+	defaultMaxBodyBytes = 4 << 20
+	// maxBufferedBodyBytes bounds the total size of the request bodies in memory: a quarter of
+	// the memory of the smallest box.
+	maxBufferedBodyBytes = 32 << 20
+	// notReadyRetryAfter is the Retry-After of a router that has no configuration yet, or has too
 	// many requests or bodies in memory.
-	notReadyAfter = 500 * time.Millisecond
-	// leavingAfter is the Retry-After of a router that shuts down. It is short because the
+	notReadyRetryAfter = 500 * time.Millisecond
+	// leavingRetryAfter is the Retry-After of a router that shuts down. It is short because the
 	// caller can go to another router at once.
-	leavingAfter = 50 * time.Millisecond
+	leavingRetryAfter = 50 * time.Millisecond
 )
 
 // Reasons for refusing a request before it reaches the forwarder.
@@ -71,15 +71,18 @@
 )
 
 const (
-	// crowdedLeast and crowdedSpread are the minimum and the random part of the Retry-After
-	// when an organisation has too many waiting requests or the router is short of CPU time.
-	// The organisation sends several times its share, so an earlier retry would fail too.
-	crowdedLeast  = time.Second
-	crowdedSpread = time.Second
+	// minOverloadRetryAfter and overloadRetryAfterSpread are the minimum and the random part of
+	// the Retry-After when an organisation has too many waiting requests or the router is
+	// short of CPU time. The organisation sends several times its share, so an earlier retry
+	// would fail too.
+	minOverloadRetryAfter    = time.Second
+	overloadRetryAfterSpread = time.Second
 )
 
-// crowdedAfter returns a random Retry-After for a refusal under overload.
-func crowdedAfter() time.Duration { return crowdedLeast + rand.N(crowdedSpread) }
+// overloadRetryAfter returns a random Retry-After for a refusal under overload.
+func overloadRetryAfter() time.Duration {
+	return minOverloadRetryAfter + rand.N(overloadRetryAfterSpread)
+}
 
 // Observer receives the result of each request, also of refused ones.
 type Observer interface {
@@ -94,20 +97,21 @@
 	log       logr.Logger
 	table     atomic.Pointer[routing.Table]
 	server    *http.Server
-	held      atomic.Int64
-	conns     *conns
-	turned    turnedAway
+	// bodyBytes is the total size of the request bodies in memory.
+	bodyBytes  atomic.Int64
+	conns      *conns
+	rejections rejectionCounter
 	// maxOpen is the maximum number of requests being served.
 	maxOpen int64
 	open    atomic.Int64
-	// begun counts the requests that reached the HTTP server.
-	begun atomic.Int64
+	// started counts the requests that reached the HTTP server.
+	started atomic.Int64
 	// closing is set once the router shuts down; each answer then closes its connection.
 	closing atomic.Bool
 	// paused is set while the configuration in force has yet to be confirmed.
 	paused atomic.Bool
-	// end is the time by which every request must have ended; nil if there is none.
-	end atomic.Pointer[time.Time]
+	// latestEnd is the time by which every request must have ended; nil if there is none.
+	latestEnd atomic.Pointer[time.Time]
 }
 
 // Limits bounds a server's concurrent requests and connections.
@@ -120,16 +124,16 @@
 }
 
 // New returns a server that refuses all requests until Configure is called.
-func New(d forward.Dialect, f *forward.Forwarder, o Observer, most Limits, l logr.Logger) *Server {
+func New(d forward.Dialect, f *forward.Forwarder, o Observer, limits Limits, l logr.Logger) *Server {
 	s := &Server{
 		dialect: d, forwarder: f, observer: o, log: l,
-		conns: newConns(most.Connections, f.Short), maxOpen: int64(most.Requests),
+		conns: newConns(limits.Connections, f.Short), maxOpen: int64(limits.Requests),
 	}
 	s.server = &http.Server{
 		Handler:                      s,
 		ReadHeaderTimeout:            headerTimeout,
 		IdleTimeout:                  idleTimeout,
-		MaxHeaderBytes:               maxHeader,
+		MaxHeaderBytes:               maxHeaderBytes,
 		ConnState:                    connState,
 		ConnContext:                  withConn,
 		ErrorLog:                     log.New(serverLog{l}, "", 0),
@@ -150,9 +154,9 @@
 // Configure replaces the routing table.
 func (s *Server) Configure(t *routing.Table) { s.table.Store(t) }
 
-// Pause makes the server refuse all requests as not ready if on is true, and serve them again
-// otherwise.
-func (s *Server) Pause(on bool) { s.paused.Store(on) }
+// Pause makes the server refuse all requests as not ready if paused is true, and serve them
+// again otherwise.
+func (s *Server) Pause(paused bool) { s.paused.Store(paused) }
 
 // Ready reports whether the server has a configuration, is not paused, and is not shutting down.
 func (s *Server) Ready() bool {
@@ -164,10 +168,10 @@
 
 // TurnedAway returns the number of connections rejected since the start because they waited
 // too long for CPU time.
-func (s *Server) TurnedAway() int64 { return s.turned.all.Load() }
+func (s *Server) TurnedAway() int64 { return s.rejections.total.Load() }
 
 // Begun returns the number of requests that reached the HTTP server since the start.
-func (s *Server) Begun() int64 { return s.begun.Load() }
+func (s *Server) Begun() int64 { return s.started.Load() }
 
 // Serve serves callers on l until Close.
 func (s *Server) Serve(l net.Listener) error {
@@ -182,11 +186,11 @@
 func (s *Server) Leave() { s.closing.Store(true) }
 
 // EndBy makes the server refuse new requests that may still be running at end.
-func (s *Server) EndBy(end time.Time) { s.end.Store(&end) }
+func (s *Server) EndBy(end time.Time) { s.latestEnd.Store(&end) }
 
 // mayOutlast reports whether a request may still be running at the time set by EndBy.
 func (s *Server) mayOutlast(r forward.Request) bool {
-	end := s.end.Load()
+	end := s.latestEnd.Load()
 	return end != nil && r.Expires().After(*end)
 }
 
@@ -204,20 +208,20 @@
 
 // ServeHTTP serves one request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.begun.Add(1)
+	s.started.Add(1)
 	s.open.Add(1)
 	defer s.open.Add(-1)
 	arrived := clock.Now()
 	if s.closing.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	request, v := s.accept(w, r, arrived)
+	request, v := s.prepare(w, r, arrived)
 	if v.Status != 0 {
 		s.finish(w, request, v, arrived)
 		return
 	}
-	defer s.held.Add(-int64(len(request.Body)))
-	request.CallerGone = func() bool { return callerEnded(r.Context()) }
+	defer s.bodyBytes.Add(-int64(len(request.Body)))
+	request.CallerGone = func() bool { return callerDisconnected(r.Context()) }
 	a := &answer{w: w, flush: http.NewResponseController(w)}
 	s.finish(w, request, s.forwarder.Forward(r.Context(), request, a), arrived)
 }
@@ -253,40 +257,40 @@
 }
 
 // refused returns the result of a refused request.
-func refused(status int, why forward.Reason, after time.Duration) forward.Result {
-	return forward.Result{Status: status, Reason: why, RetryAfter: after}
+func refused(status int, reason forward.Reason, after time.Duration) forward.Result {
+	return forward.Result{Status: status, Reason: reason, RetryAfter: after}
 }
 
-// accept parses and checks a request and reads its body. If it returns a result with a status,
+// prepare parses and checks a request and reads its body. If it returns a result with a status,
 // the request is refused.
-func (s *Server) accept(w http.ResponseWriter, r *http.Request, arrived time.Time) (forward.Request, forward.Result) {
+func (s *Server) prepare(w http.ResponseWriter, r *http.Request, arrived time.Time) (forward.Request, forward.Result) {
 	out := forward.Request{
 		ID: r.Header.Get(s.dialect.RequestID), Method: r.Method, URI: r.RequestURI, Host: r.Host, Arrived: arrived,
 	}
 	t := s.table.Load()
 	if t == nil || s.paused.Load() {
-		return out, refused(http.StatusServiceUnavailable, ReasonNotReady, notReadyAfter)
+		return out, refused(http.StatusServiceUnavailable, ReasonNotReady, notReadyRetryAfter)
 	}
 	if v := s.identify(t, &out, r.Header.Get("Authorization")); v.Status != 0 {
 		return out, v
 	}
-	out.Input, out.Output = sizes(r.Header.Get(s.dialect.PromptSize), r.Header.Get(s.dialect.OutputHint))
-	if why := s.admit(out); why != "" {
+	out.Input, out.Output = parseSizes(r.Header.Get(s.dialect.PromptSize), r.Header.Get(s.dialect.OutputHint))
+	if reason := s.admit(out); reason != "" {
 		// The body stays unread, so the connection cannot be reused.
 		w.Header().Set("Connection", "close")
-		return out, refused(http.StatusServiceUnavailable, why, crowdedAfter())
+		return out, refused(http.StatusServiceUnavailable, reason, overloadRetryAfter())
 	}
 	if s.open.Load() > s.maxOpen {
-		return out, refused(http.StatusServiceUnavailable, ReasonProcessFull, notReadyAfter)
+		return out, refused(http.StatusServiceUnavailable, ReasonProcessFull, notReadyRetryAfter)
 	}
-	if err := s.describe(&out, r); err != nil {
+	if err := s.applyHeaders(&out, r); err != nil {
 		s.log.Info("request refused", "id", out.ID, "cause", err.Error())
 		return out, refused(http.StatusBadRequest, ReasonBadRequest, 0)
 	}
 	if s.mayOutlast(out) {
-		return out, refused(http.StatusServiceUnavailable, ReasonLeaving, leavingAfter)
+		return out, refused(http.StatusServiceUnavailable, ReasonLeaving, leavingRetryAfter)
 	}
-	return out, s.body(w, r, t, &out)
+	return out, s.receiveBody(w, r, t, &out)
 }
 
 // admit returns the reason to refuse a request before its body is read, or "".
@@ -294,11 +298,11 @@
 	if !r.ToEngine {
 		return ""
 	}
-	return s.forwarder.Admit(r.Organisation, offer(r))
+	return s.forwarder.Admit(r.Organisation, requestSize(r))
 }
 
-// offer returns a request's size in tokens.
-func offer(r forward.Request) throttle.RequestSize {
+// requestSize returns a request's size in tokens.
+func requestSize(r forward.Request) throttle.RequestSize {
 	return throttle.RequestSize{Input: r.Input, Output: r.Output}
 }
 
@@ -322,18 +326,18 @@
 	return forward.Result{}
 }
 
-// body reads the request's body, up to the configured limit. If it returns a result with a
-// status, the request is refused.
-func (s *Server) body(w http.ResponseWriter, r *http.Request, t *routing.Table, out *forward.Request) forward.Result {
+// receiveBody reads the request's body, up to the configured limit. If it returns a result with
+// a status, the request is refused.
+func (s *Server) receiveBody(w http.ResponseWriter, r *http.Request, t *routing.Table, out *forward.Request) forward.Result {
 	limit := int64(t.Limits().BodyBytes)
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBodyBytes
 	}
 	if r.ContentLength > limit {
 		return refused(http.StatusRequestEntityTooLarge, ReasonTooLarge, 0)
 	}
-	if s.held.Load() > maxHeld {
-		return refused(http.StatusServiceUnavailable, ReasonProcessFull, notReadyAfter)
+	if s.bodyBytes.Load() > maxBufferedBodyBytes {
+		return refused(http.StatusServiceUnavailable, ReasonProcessFull, notReadyRetryAfter)
 	}
 	if r.ContentLength == 0 {
 		return forward.Result{}
@@ -353,7 +357,7 @@
 		s.log.V(1).Info("read deadline not cleared", "id", out.ID, "cause", err.Error())
 	}
 	out.Body = body
-	s.held.Add(int64(len(body)))
+	s.bodyBytes.Add(int64(len(body)))
 	return forward.Result{}
 }
 
--- a/internal/ingress/listener.go
+++ b/internal/ingress/listener.go
@@ -17,9 +17,9 @@
 // ReasonOverdue is the reason for rejecting a connection that waited too long for CPU time.
 const ReasonOverdue forward.Reason = "router-overdue"
 
-// earlyMost bounds what is read from a new connection before the HTTP server gets it, in bytes.
-// Few requests are larger.
-const earlyMost = 64 << 10
+// maxEarlyBytes bounds what is read from a new connection before the HTTP server gets it. Few
+// requests are larger.
+const maxEarlyBytes = 64 << 10
 
 // listener accepts callers' connections. While the router is short of CPU time or throttles an
 // organisation, it refuses requests before the HTTP server gets their connections, at a
@@ -27,23 +27,23 @@
 // caller reconnects at once, several times per request, and that alone keeps the CPU busy.
 type listener struct {
 	net.Listener
-	// sockets accepts connections as plain sockets while many are refused; nil if the
+	// acceptor accepts connections as plain sockets while many are refused; nil if the
 	// listener is not a TCP listener or the acceptor could not be created.
-	sockets *sockopt.Acceptor
-	server  *Server
-	conns   *conns
+	acceptor *sockopt.Acceptor
+	server   *Server
+	conns    *conns
 	// buffer is used only by the goroutine that calls Accept.
-	buffer *[earlyMost]byte
+	buffer *[maxEarlyBytes]byte
 }
 
 func newListener(l net.Listener, s *Server) listener {
-	out := listener{l, nil, s, s.conns, new([earlyMost]byte)}
+	out := listener{l, nil, s, s.conns, new([maxEarlyBytes]byte)}
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
 		return out
 	}
 	var err error
-	if out.sockets, err = sockopt.NewAcceptor(tcp); err != nil {
+	if out.acceptor, err = sockopt.NewAcceptor(tcp); err != nil {
 		s.log.Info("early refusal of requests not available", "cause", err.Error())
 	}
 	return out
@@ -53,7 +53,7 @@
 func (l listener) Accept() (net.Conn, error) {
 	for {
 		accept := l.accept
-		if l.sockets != nil && l.server.refusesEarly() {
+		if l.acceptor != nil && l.server.refusesEarly() {
 			accept = l.acceptSocket
 		}
 		if c, err := accept(); c != nil || err != nil {
@@ -64,7 +64,7 @@
 
 // refusesEarly reports whether requests are to be checked, and may be refused, before the HTTP
 // server gets their connections.
-func (s *Server) refusesEarly() bool { return s.forwarder.Throttles() || s.conns.short() }
+func (s *Server) refusesEarly() bool { return s.forwarder.Throttles() || s.conns.overloaded() }
 
 // accept accepts a connection. It returns nil if the connection was rejected.
 func (l listener) accept() (net.Conn, error) {
@@ -72,111 +72,111 @@
 	if err != nil {
 		return nil, err
 	}
-	place := l.conns.enter()
-	if place == nil {
-		l.server.turnAway(tcpCaller{raw}, l.buffer[:], 0)
+	element := l.conns.enqueue()
+	if element == nil {
+		l.server.reject(earlyTCPConn{raw}, l.buffer[:], 0)
 		return nil, nil
 	}
-	return l.admit(raw, place, nil)
+	return l.admit(raw, element, nil)
 }
 
 // acceptSocket accepts a connection as a plain socket and reads what has arrived on it. It
 // returns nil if the connection was rejected or its request refused.
 func (l listener) acceptSocket() (net.Conn, error) {
-	socket, err := l.sockets.Accept()
+	socket, err := l.acceptor.Accept()
 	if err != nil {
 		return nil, err
 	}
-	place := l.conns.enter()
-	if place == nil {
-		l.server.turnAway(socket, l.buffer[:], 0)
+	element := l.conns.enqueue()
+	if element == nil {
+		l.server.reject(socket, l.buffer[:], 0)
 		return nil, nil
 	}
 	ahead := l.buffer[:socket.ReadNow(l.buffer[:])]
-	if l.server.refuseWhole(socket, ahead) {
-		l.conns.forget(place)
+	if l.server.refuseComplete(socket, ahead) {
+		l.conns.remove(element)
 		return nil, nil
 	}
 	raw, err := socket.Conn()
 	if err != nil {
 		// Returning the error would stop http.Server.
-		l.conns.forget(place)
+		l.conns.remove(element)
 		l.server.log.Info("accepted connection lost", "cause", err.Error())
 		return nil, nil
 	}
-	return l.admit(raw, place, slices.Clone(ahead))
+	return l.admit(raw, element, slices.Clone(ahead))
 }
 
 // admit waits until there is room for a connection and returns it for the HTTP server; ahead
 // holds the bytes already read from it. If the listener closes meanwhile, admit refuses the
 // request and returns net.ErrClosed.
-func (l listener) admit(raw net.Conn, place *list.Element, ahead []byte) (net.Conn, error) {
+func (l listener) admit(raw net.Conn, element *list.Element, ahead []byte) (net.Conn, error) {
 	if !l.conns.reserve() {
-		l.conns.forget(place)
-		l.server.refuseLast(tcpCaller{raw}, l.server.readHead(ahead), ReasonLeaving, leavingAfter)
+		l.conns.remove(element)
+		l.server.refuseAndClose(earlyTCPConn{raw}, l.server.readHead(ahead), ReasonLeaving, leavingRetryAfter)
 		return nil, net.ErrClosed
 	}
-	return &conn{Conn: raw, server: l.server, conns: l.conns, between: true, fresh: place, ahead: ahead}, nil
+	return &conn{Conn: raw, server: l.server, conns: l.conns, betweenRequests: true, unreadElement: element, readAhead: ahead}, nil
 }
 
 // Close implements net.Listener.
 func (l listener) Close() error {
 	l.conns.close()
-	if l.sockets != nil {
-		if err := l.sockets.Close(); err != nil {
+	if l.acceptor != nil {
+		if err := l.acceptor.Close(); err != nil {
 			l.server.log.Info("listening socket not closed", "cause", err.Error())
 		}
 	}
 	return l.Listener.Close()
 }
 
-// fresh is a new connection on which a request can be refused without blocking.
-type fresh interface {
+// earlyConn is a new connection on which a request can be refused without blocking.
+type earlyConn interface {
 	// ReadNow reads what has arrived, without blocking, and returns the number of bytes.
 	ReadNow(b []byte) int
 	io.WriteCloser
 }
 
-// tcpCaller implements fresh for a net.Conn.
-type tcpCaller struct{ net.Conn }
+// earlyTCPConn implements earlyConn for a net.Conn.
+type earlyTCPConn struct{ net.Conn }
 
-func (c tcpCaller) ReadNow(b []byte) int { return sockopt.ReadNow(c.Conn, b) }
+func (c earlyTCPConn) ReadNow(b []byte) int { return sockopt.ReadNow(c.Conn, b) }
 
-// refuseWhole refuses a request that has arrived completely, if its organisation's requests
+// refuseComplete refuses a request that has arrived completely, if its organisation's requests
 // are to be refused. It returns false, and has done nothing, if the HTTP server is to serve the
 // connection.
-func (s *Server) refuseWhole(c fresh, arrived []byte) bool {
+func (s *Server) refuseComplete(c earlyConn, arrived []byte) bool {
 	h, size, ok := parseHead(arrived, &s.dialect)
-	if !ok || h.length != len(arrived)-size || s.closing.Load() {
+	if !ok || h.bodyLength != len(arrived)-size || s.closing.Load() {
 		return false
 	}
-	r, why := s.crowded(h)
-	if why == "" {
+	r, reason := s.overloadReason(h)
+	if reason == "" {
 		return false
 	}
 	r.Arrived = clock.Now()
-	s.refuseLast(c, r, why, crowdedAfter())
+	s.refuseAndClose(c, r, reason, overloadRetryAfter())
 	return true
 }
 
-// turnAway rejects a connection that waited too long for CPU time; the first n bytes of buffer
+// reject rejects a connection that waited too long for CPU time; the first n bytes of buffer
 // have been read from it. It first reads the rest of what has arrived: the kernel resets a
 // connection that is closed with unread bytes, and the caller could lose the answer.
-func (s *Server) turnAway(c fresh, buffer []byte, n int) {
+func (s *Server) reject(c earlyConn, buffer []byte, n int) {
 	n += c.ReadNow(buffer[n:])
 	r := s.readHead(buffer[:n])
 	for n == len(buffer) {
 		n = c.ReadNow(buffer)
 	}
-	s.countTurnedAway()
-	s.refuseLast(c, r, ReasonOverdue, crowdedAfter())
+	s.countRejection()
+	s.refuseAndClose(c, r, ReasonOverdue, overloadRetryAfter())
 }
 
-// refuseLast answers a request that has not run with 503 and a Retry-After, and closes the
+// refuseAndClose answers a request that has not run with 503 and a Retry-After, and closes the
 // connection.
-func (s *Server) refuseLast(c fresh, r forward.Request, why forward.Reason, after time.Duration) {
-	v := refused(http.StatusServiceUnavailable, why, after)
-	if _, err := c.Write(s.quickAnswer(r.ID, v, true)); err != nil {
+func (s *Server) refuseAndClose(c earlyConn, r forward.Request, reason forward.Reason, after time.Duration) {
+	v := refused(http.StatusServiceUnavailable, reason, after)
+	if _, err := c.Write(s.formatRefusal(r.ID, v, true)); err != nil {
 		s.log.V(1).Info("refusal not delivered", "id", r.ID, "cause", err.Error())
 	}
 	// An error means that the caller has disconnected.
@@ -184,20 +184,20 @@
 	s.observer.Ended(r, v, 0)
 }
 
-// turnedAway counts rejected connections. logged is the Unix time, in seconds, at which they
-// were last logged.
-type turnedAway struct {
-	all    atomic.Int64
-	logged atomic.Int64
+// rejectionCounter counts rejected connections. lastLogged is the Unix time, in seconds, at
+// which they were last logged.
+type rejectionCounter struct {
+	total      atomic.Int64
+	lastLogged atomic.Int64
 }
 
-// countTurnedAway counts a rejected connection. It logs the total at most once a second, since
+// countRejection counts a rejected connection. It logs the total at most once a second, since
 // there may be thousands.
-func (s *Server) countTurnedAway() {
-	all, second := s.turned.all.Add(1), clock.Wall().Unix()
-	if s.turned.logged.Swap(second) == second {
+func (s *Server) countRejection() {
+	total, second := s.rejections.total.Add(1), clock.Wall().Unix()
+	if s.rejections.lastLogged.Swap(second) == second {
 		return
 	}
-	accepted, longest := s.conns.arrivals()
-	s.log.Info("callers turned away", "count", all, "accepted", accepted, "longest_ms", longest.Milliseconds())
+	accepted, longestWait := s.conns.takeArrivalStats()
+	s.log.Info("callers turned away", "count", total, "accepted", accepted, "longest_ms", longestWait.Milliseconds())
 }
--- a/internal/ingress/listener_test.go
+++ b/internal/ingress/listener_test.go
@@ -45,9 +45,9 @@
 		res, err := http.ReadResponse(answers, nil)
 		Expect(err).NotTo(HaveOccurred())
 		defer res.Body.Close()
-		why, err := io.ReadAll(res.Body)
+		reason, err := io.ReadAll(res.Body)
 		Expect(err).NotTo(HaveOccurred())
-		return res, strings.TrimSpace(string(why))
+		return res, strings.TrimSpace(string(reason))
 	}
 	// large is a body size, in bytes, above what the HTTP server reads in one call.
 	const large = 9000
@@ -58,9 +58,9 @@
 	It("are refused with a Retry-After, and their connection is closed", func() {
 		_, answers := arrive(request("k1"))
 		serve(g, l)
-		res, why := outcome(answers)
+		res, reason := outcome(answers)
 		Expect(res.StatusCode).To(Equal(http.StatusServiceUnavailable))
-		Expect(why).To(Equal(string(ingress.ReasonCrowded)))
+		Expect(reason).To(Equal(string(ingress.ReasonCrowded)))
 		Expect(res.Header.Get("X-Id")).To(Equal("r"))
 		Expect(res.Header.Get("Retry-After")).NotTo(BeEmpty())
 		Expect(res.Close).To(BeTrue())
@@ -71,11 +71,11 @@
 	It("reach the HTTP server complete if they are not refused, and so does the next request", func() {
 		c, answers := arrive(request("k2"))
 		serve(g, l)
-		_, why := outcome(answers)
-		Expect(why).To(Equal("no-target"))
+		_, reason := outcome(answers)
+		Expect(reason).To(Equal("no-target"))
 		fmt.Fprint(c, request("k2"))
-		_, why = outcome(answers)
-		Expect(why).To(Equal("no-target"))
+		_, reason = outcome(answers)
+		Expect(reason).To(Equal("no-target"))
 	})
 
 	It("are refused after the rest of their body is read if that arrives later", func() {
@@ -84,10 +84,10 @@
 		serve(g, l)
 		time.Sleep(20 * time.Millisecond)
 		fmt.Fprint(c, text[large/2:])
-		_, why := outcome(answers)
-		Expect(why).To(Equal(string(ingress.ReasonCrowded)))
+		_, reason := outcome(answers)
+		Expect(reason).To(Equal(string(ingress.ReasonCrowded)))
 		fmt.Fprint(c, request("k2"))
-		_, why = outcome(answers)
-		Expect(why).To(Equal("no-target"))
+		_, reason = outcome(answers)
+		Expect(reason).To(Equal("no-target"))
 	})
 })
--- a/internal/ingress/overdue_test.go
+++ b/internal/ingress/overdue_test.go
@@ -13,7 +13,7 @@
 // A router that is short of CPU time first reads connections up to two seconds after they were
 // accepted. It must reject a connection that has waited too long, and new ones while one waits
 // too long. A router that is not short of CPU time must reject none.
-func TestOverdueConnectionIsTurnedAway(t *testing.T) {
+func TestOverdueConnectionIsRejected(t *testing.T) {
 	for name, short := range map[string]bool{"short of processor time": true, "not short": false} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -21,7 +21,7 @@
 				t.Fatal(err)
 			}
 			var served atomic.Int64
-			s := newBusyServer(turnedAwayOnly{t}, short)
+			s := newTestServer(rejectedOnly{t}, short)
 			in := newListener(l, s)
 			g := group.New(t.Context())
 			defer g.Stop()
@@ -68,7 +68,7 @@
 			if served.Load() != want || s.TurnedAway() != turned {
 				t.Errorf("%d served, %d rejected, want %d and %d", served.Load(), s.TurnedAway(), want, turned)
 			}
-			if s.conns.fresh.Enqueue(time.Now().Add(time.Hour), true) == nil {
+			if s.conns.unread.Enqueue(time.Now().Add(time.Hour), true) == nil {
 				t.Error("a closed connection still counts as waiting")
 			}
 		})
--- a/internal/ingress/quick.go
+++ b/internal/ingress/quick.go
@@ -30,17 +30,17 @@
 	if !ok {
 		return false, nil
 	}
-	left := h.length - (len(first) - size)
-	r, why := s.crowded(h)
-	if why == "" || left < 0 {
+	remaining := h.bodyLength - (len(first) - size)
+	r, reason := s.overloadReason(h)
+	if reason == "" || remaining < 0 {
 		return false, nil
 	}
 	r.Arrived = arrived
-	if err := discard(c, left); err != nil {
+	if err := discard(c, remaining); err != nil {
 		return false, err
 	}
-	v := refused(http.StatusServiceUnavailable, why, crowdedAfter())
-	if _, err := c.Write(s.quickAnswer(r.ID, v, false)); err != nil {
+	v := refused(http.StatusServiceUnavailable, reason, overloadRetryAfter())
+	if _, err := c.Write(s.formatRefusal(r.ID, v, false)); err != nil {
 		return false, errors.Wrap(err, "write refusal")
 	}
 	s.observer.Ended(r, v, clock.Since(arrived))
@@ -50,7 +50,7 @@
 // request converts a request's head to a request without route and organisation.
 func (h quickHead) request() forward.Request {
 	out := forward.Request{ID: string(h.id), Method: string(h.method), URI: string(h.target), Host: string(h.host)}
-	out.Input, out.Output = sizes(string(h.size), string(h.hint))
+	out.Input, out.Output = parseSizes(string(h.promptSize), string(h.outputHint))
 	return out
 }
 
@@ -68,16 +68,16 @@
 	return out
 }
 
-// crowded returns the request of a head and the reason to refuse it because of its
+// overloadReason returns the request of a head and the reason to refuse it because of its
 // organisation's load, or "".
-func (s *Server) crowded(h quickHead) (forward.Request, forward.Reason) {
+func (s *Server) overloadReason(h quickHead) (forward.Request, forward.Reason) {
 	out := h.request()
 	t := s.table.Load()
 	if t == nil || out.ID == "" {
 		return out, ""
 	}
 	limit := t.Limits().BodyBytes
-	if limit > 0 && h.length > limit {
+	if limit > 0 && h.bodyLength > limit {
 		return out, ""
 	}
 	if v := s.identify(t, &out, string(h.authorization)); v.Status != 0 {
@@ -86,12 +86,12 @@
 	if !out.ToEngine {
 		return out, ""
 	}
-	return out, s.forwarder.Crowded(out.Organisation, offer(out))
+	return out, s.forwarder.Crowded(out.Organisation, requestSize(out))
 }
 
-// quickAnswer returns the bytes of a refusal; if last is set, its header says that the
+// formatRefusal returns the bytes of a refusal; if last is set, its header says that the
 // connection is closed.
-func (s *Server) quickAnswer(id string, v forward.Result, last bool) []byte {
+func (s *Server) formatRefusal(id string, v forward.Result, last bool) []byte {
 	b := make([]byte, 0, 256)
 	b = append(b, "HTTP/1.1 503 Service Unavailable\r\n"...)
 	if id != "" {
@@ -109,8 +109,8 @@
 // scratchSize is the size, in bytes, of a buffer for input that is discarded.
 const scratchSize = 16 << 10
 
-// scratch holds buffers for input that is discarded.
-var scratch = sync.Pool{New: func() any { return new([scratchSize]byte) }}
+// scratchBuffers holds buffers for input that is discarded.
+var scratchBuffers = sync.Pool{New: func() any { return new([scratchSize]byte) }}
 
 // discard reads n bytes of a request's body and drops them.
 func discard(c *conn, n int) error {
@@ -120,10 +120,10 @@
 	if err := c.SetReadDeadline(clock.Deadline(bodyTimeout)); err != nil {
 		return errors.Wrap(err, "discard body")
 	}
-	buffer := scratch.Get().(*[scratchSize]byte)
-	defer scratch.Put(buffer)
+	buffer := scratchBuffers.Get().(*[scratchSize]byte)
+	defer scratchBuffers.Put(buffer)
 	for n > 0 {
-		got, err := c.receive(buffer[:min(n, len(buffer))])
+		got, err := c.readInput(buffer[:min(n, len(buffer))])
 		n -= got
 		if err != nil && n > 0 {
 			if errors.Is(err, io.EOF) {
@@ -138,10 +138,10 @@
 // quickHead holds the values of a request's head that refusing it takes.
 type quickHead struct {
 	method, target, host, id, authorization []byte
-	// size and hint are the header values that sizes parses.
-	size, hint []byte
-	// length is the length of the body, in bytes.
-	length int
+	// promptSize and outputHint are the header values that parseSizes parses.
+	promptSize, outputHint []byte
+	// bodyLength is the length of the body, in bytes.
+	bodyLength int
 }
 
 var (
@@ -192,38 +192,38 @@
 	}
 	value = bytes.TrimSpace(value)
 	switch {
-	case equal(name, "Host"):
-		return once(&h.host, value)
-	case equal(name, "Authorization"):
-		return once(&h.authorization, value)
-	case equal(name, names.RequestID):
-		return once(&h.id, value)
-	case equal(name, names.PromptSize):
-		return once(&h.size, value)
-	case equal(name, names.OutputHint):
-		return once(&h.hint, value)
-	case equal(name, "Content-Length"):
+	case equalNames(name, "Host"):
+		return setOnce(&h.host, value)
+	case equalNames(name, "Authorization"):
+		return setOnce(&h.authorization, value)
+	case equalNames(name, names.RequestID):
+		return setOnce(&h.id, value)
+	case equalNames(name, names.PromptSize):
+		return setOnce(&h.promptSize, value)
+	case equalNames(name, names.OutputHint):
+		return setOnce(&h.outputHint, value)
+	case equalNames(name, "Content-Length"):
 		n, err := strconv.ParseUint(string(value), 10, 31)
-		seen := h.length != 0
-		h.length = int(n)
-		return err == nil && !seen && n > 0
-	case equal(name, "Transfer-Encoding"), equal(name, "Connection"), equal(name, "Expect"), equal(name, "Upgrade"):
+		repeated := h.bodyLength != 0
+		h.bodyLength = int(n)
+		return err == nil && !repeated && n > 0
+	case equalNames(name, "Transfer-Encoding"), equalNames(name, "Connection"), equalNames(name, "Expect"), equalNames(name, "Upgrade"):
 		return false
 	}
 	return true
 }
 
-// once sets *to to the value of a header, and returns false if it is set already, since the
+// setOnce sets *field to the value of a header, and returns false if it is set already, since the
 // header must not be repeated.
-func once(to *[]byte, value []byte) bool {
-	if *to != nil {
+func setOnce(field *[]byte, value []byte) bool {
+	if *field != nil {
 		return false
 	}
-	*to = value
+	*field = value
 	return true
 }
 
-// equal reports whether a header's name is want, ignoring case.
-func equal(name []byte, want string) bool {
+// equalNames reports whether a header's name is want, ignoring case.
+func equalNames(name []byte, want string) bool {
 	return len(name) == len(want) && bytes.EqualFold(name, []byte(want))
 }
--- a/internal/ingress/quick_test.go
+++ b/internal/ingress/quick_test.go
@@ -33,34 +33,34 @@
 
 var dialect = forward.Dialect{RequestID: "X-Id", Deadline: "X-Wait-Ms", Organisation: "X-Organisation"}
 
-// unreachable is a sender that cannot reach any target.
-type unreachable struct{}
+// unreachableSender is a sender that cannot reach any target.
+type unreachableSender struct{}
 
-func (unreachable) Send(context.Context, string, httptarget.Request) (*httptarget.Answer, error) {
+func (unreachableSender) Send(context.Context, string, httptarget.Request) (*httptarget.Answer, error) {
 	return nil, errors.Wrap(httptarget.ErrNotSent, "test")
 }
 
-func (unreachable) ProcessExited(context.Context, string, string) bool { return false }
+func (unreachableSender) ProcessExited(context.Context, string, string) bool { return false }
 
-// trusting is a forward.Suspects that suspects no request.
-type trusting struct{ forward.Suspects }
+// noSuspects is a forward.Suspects that suspects no request.
+type noSuspects struct{ forward.Suspects }
 
-func (trusting) View() *quarantine.View                         { return nil }
-func (trusting) RecordExit(balance.Target)                      {}
-func (trusting) RecordBreak(context.Context, forward.Break) int { return 0 }
+func (noSuspects) View() *quarantine.View                         { return nil }
+func (noSuspects) RecordExit(balance.Target)                      {}
+func (noSuspects) RecordBreak(context.Context, forward.Break) int { return 0 }
 
-// ended is an observer and forward.Counters that ignore all calls.
-type ended struct{}
+// ignoringObserver is an observer and forward.Counters that ignore all calls.
+type ignoringObserver struct{}
 
-func (ended) Ended(forward.Request, forward.Result, time.Duration) {}
-func (ended) CountRetry(forward.Reason)                            {}
-func (ended) CountAdvice(forward.Advice)                           {}
+func (ignoringObserver) Ended(forward.Request, forward.Result, time.Duration) {}
+func (ignoringObserver) CountRetry(forward.Reason)                            {}
+func (ignoringObserver) CountAdvice(forward.Advice)                           {}
 
 // maxConnections is the maximum number of connections of newServer's server.
 const maxConnections = 3
 
-// crowd is a number of requests above the maximum queue length of an organisation.
-const crowd = 30
+// queuedRequests is a number of requests above the maximum queue length of an organisation.
+const queuedRequests = 30
 
 // newServer starts a server for callers of two organisations and returns its address: "loud",
 // which has a full queue of requests to engines, and "calm".
@@ -91,7 +91,7 @@
 	}
 	loop.Post(func(s *balance.State, now time.Time) {
 		s.Configure(table)
-		for i := range crowd {
+		for i := range queuedRequests {
 			s.Arrive(now, &balance.Ticket{
 				ID: fmt.Sprint(i), Service: "llm", Organisation: "loud", Engine: true, Input: 1, Goal: time.Hour,
 				Arrived: now, Deadline: now.Add(time.Hour), Decision: make(chan balance.Decision, 1),
@@ -101,8 +101,8 @@
 	for loop.Check("loud", throttle.RequestSize{}) == "" {
 		time.Sleep(time.Millisecond)
 	}
-	f := forward.New(dialect, unreachable{}, loop, trusting{}, logr.Discard(), ended{})
-	s := ingress.New(dialect, f, ended{}, ingress.Limits{Requests: 1000, Connections: maxConnections}, logr.Discard())
+	f := forward.New(dialect, unreachableSender{}, loop, noSuspects{}, logr.Discard(), ignoringObserver{})
+	s := ingress.New(dialect, f, ignoringObserver{}, ingress.Limits{Requests: 1000, Connections: maxConnections}, logr.Discard())
 	s.Configure(table)
 	g.Go(func() { _ = s.Serve(l) })
 	g.GoContext(func(ctx context.Context) {
--- a/internal/ingress/told_test.go
+++ b/internal/ingress/told_test.go
@@ -18,54 +18,55 @@
 	"github.com/stepcroft/stepcroft/internal/group"
 )
 
-// aged is a listener whose connections have waited for a second before their first read.
-type aged struct{ listener }
+// overdueListener is a listener whose connections have waited for a second before their first
+// read.
+type overdueListener struct{ listener }
 
-func (a aged) Accept() (net.Conn, error) {
+func (a overdueListener) Accept() (net.Conn, error) {
 	c, err := a.listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c.(*conn).fresh.Value = clock.Now().Add(-time.Second)
+	c.(*conn).unreadElement.Value = clock.Now().Add(-time.Second)
 	return c, nil
 }
 
-// turnedAwayOnly is an observer that expects only rejections of overdue connections.
-type turnedAwayOnly struct{ t *testing.T }
+// rejectedOnly is an observer that expects only rejections of overdue connections.
+type rejectedOnly struct{ t *testing.T }
 
-func (o turnedAwayOnly) Ended(r forward.Request, v forward.Result, _ time.Duration) {
+func (o rejectedOnly) Ended(r forward.Request, v forward.Result, _ time.Duration) {
 	if v.Reason != ReasonOverdue || v.Status != http.StatusServiceUnavailable {
 		o.t.Errorf("request %q: %+v", r.ID, v)
 	}
 }
 
-// newBusyServer returns a server with observer o that is always short of CPU time, or never is.
-func newBusyServer(o Observer, short bool) *Server {
+// newTestServer returns a server with observer o that is always short of CPU time, or never is.
+func newTestServer(o Observer, short bool) *Server {
 	loop := balance.NewLoop(balance.New(clock.Now(), "z", balance.Limits{}, rand.New(rand.NewPCG(1, 1))))
 	d := forward.Dialect{RequestID: "X-Id"}
 	s := New(d, forward.New(d, nil, loop, nil, logr.Discard(), nil), o, Limits{Requests: 100, Connections: 100}, logr.Discard())
-	s.conns.short = func() bool { return short }
+	s.conns.overloaded = func() bool { return short }
 	return s
 }
 
 // A caller whose connection waited too long for CPU time must get 503 with a Retry-After. It
 // used to get no answer, or 400 Bad Request, after which callers do not retry.
-func TestOverdueCallerIsToldWhenToComeBack(t *testing.T) {
+func TestOverdueCallerGetsRetryAfter(t *testing.T) {
 	const body = 9000
-	for name, place := range map[string]bool{"has waited for too long": true, "comes after one that has": false} {
+	for name, overdue := range map[string]bool{"has waited for too long": true, "comes after one that has": false} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := newBusyServer(turnedAwayOnly{t}, true)
+			s := newTestServer(rejectedOnly{t}, true)
 			g := group.New(context.Background())
 			defer g.Stop()
 			defer s.Close()
-			if !place {
-				s.conns.fresh.Enqueue(clock.Now().Add(-time.Second), true)
+			if !overdue {
+				s.conns.unread.Enqueue(clock.Now().Add(-time.Second), true)
 			}
-			g.Go(func() { _ = s.server.Serve(aged{newListener(l, s)}) })
+			g.Go(func() { _ = s.server.Serve(overdueListener{newListener(l, s)}) })
 			c, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
@@ -87,10 +88,10 @@
 	}
 }
 
-// leaving is an observer that expects only refusals because the router shuts down.
-type leaving struct{ t *testing.T }
+// leavingOnly is an observer that expects only refusals because the router shuts down.
+type leavingOnly struct{ t *testing.T }
 
-func (o leaving) Ended(r forward.Request, v forward.Result, _ time.Duration) {
+func (o leavingOnly) Ended(r forward.Request, v forward.Result, _ time.Duration) {
 	if v.Reason != ReasonLeaving || r.ID != "1" {
 		o.t.Errorf("request %q: %+v", r.ID, v)
 	}
@@ -103,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newBusyServer(leaving{t}, true)
+	s := newTestServer(leavingOnly{t}, true)
 	s.conns.max = 1
 	s.conns.reserve()
 	in := newListener(l, s)
