--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -20,38 +20,39 @@
 )
 
 const (
-	// maxHeaderAndBody is the maximum size of a request, in bytes. The connection of a larger
+	// maxRequestBytes is the maximum size of a request, in bytes. The connection of a larger
 	// one is closed without an answer. Handlers have lower limits of their own, above which
 	// they do answer.
-	maxHeaderAndBody = 8 << 20
-	// maxUnsent bounds the unsent bytes buffered for a caller that reads slowly; above it, the
-	// connection is closed.
-	maxUnsent = 1 << 20
-	// defaultIdle is the default of Options.Idle.
-	defaultIdle = 60 * time.Second
-	// spareShare is the ratio of the maximum number of connections to the number that may be
-	// open beyond it, whose requests are answered with a Retry-After.
-	spareShare = 4
-	// comeBack is the Retry-After, in seconds, of the default Options.Full.
-	comeBack = "1"
-	// startTime is how long New waits for the pollers to start: a poller that is stopped
-	// before it has started never ends. Since one may still start late, stopTime bounds how
+	maxRequestBytes = 8 << 20
+	// maxUnsentBytes bounds the unsent bytes buffered for a caller that reads slowly; above it,
+	// the connection is closed.
+	maxUnsentBytes = 1 << 20
+	// defaultIdleTimeout is the default of Options.Idle.
+	defaultIdleTimeout = 60 * time.Second
+	// spareConnectionsDivisor is the ratio of the maximum number of connections to the number
+	// that may be open beyond it, whose requests are answered with a Retry-After.
+	spareConnectionsDivisor = 4
+	// retryAfterSeconds is the Retry-After, in seconds, of the default Options.Full.
+	retryAfterSeconds = "1"
+	// startDelay is how long New waits for the pollers to start: a poller that is stopped
+	// before it has started never ends. Since one may still start late, stopTimeout bounds how
 	// long Stop waits for them.
-	startTime = time.Millisecond
-	stopTime  = time.Second
-	// readBuffer is the size of a poller's read buffer, in bytes.
-	readBuffer = 16 << 10
+	startDelay  = time.Millisecond
+	stopTimeout = time.Second
+	// readBufferSize is the size of a poller's read buffer, in bytes.
+	readBufferSize = 16 << 10
 )
 
-// quiet turns off nbio's logging.
-var quiet = sync.OnceFunc(func() { logging.SetLevel(logging.LevelNone) })
+// disableLogging turns off nbio's logging.
+var disableLogging = sync.OnceFunc(func() { logging.SetLevel(logging.LevelNone) })
 
 // Server is a running HTTP server. Use New to create one.
 type Server struct {
 	engine  *nbhttp.Engine
 	group   *group.Group
 	address string
-	opened  atomic.Int64
+	// opened counts all connections; trackConnections also orders memory accesses with it.
+	opened atomic.Int64
 	// open is the number of open connections.
 	open atomic.Int64
 }
@@ -72,19 +73,19 @@
 
 // New starts a server that listens on address and calls handler until Stop.
 func New(address string, handler http.Handler, o Options) (*Server, error) {
-	quiet()
+	disableLogging()
 	s := &Server{group: group.New(context.Background())}
 	s.engine = nbhttp.NewEngine(nbhttp.Config{
 		Network:            "tcp",
 		Addrs:              []string{address},
-		Handler:            unhurried{bounded{handler, o.full(), &s.open, int64(o.MaxConnections)}},
-		MaxLoad:            o.MaxConnections + o.MaxConnections/spareShare,
+		Handler:            withoutIdleTimeout{connectionLimiter{handler, o.rejectHandler(), &s.open, int64(o.MaxConnections)}},
+		MaxLoad:            o.MaxConnections + o.MaxConnections/spareConnectionsDivisor,
 		NPoller:            o.Pollers,
-		ReadBufferSize:     readBuffer,
-		ReadLimit:          maxHeaderAndBody,
-		MaxHTTPBodySize:    maxHeaderAndBody,
-		MaxWriteBufferSize: maxUnsent,
-		KeepaliveTime:      cmp.Or(o.Idle, defaultIdle),
+		ReadBufferSize:     readBufferSize,
+		ReadLimit:          maxRequestBytes,
+		MaxHTTPBodySize:    maxRequestBytes,
+		MaxWriteBufferSize: maxUnsentBytes,
+		KeepaliveTime:      cmp.Or(o.Idle, defaultIdleTimeout),
 		ServerExecutor:     s.group.Go,
 		Listen: func(network, address string) (net.Listener, error) {
 			l, err := net.Listen(network, address)
@@ -94,58 +95,59 @@
 			return l, err
 		},
 	})
-	s.order()
+	s.trackConnections()
 	if err := s.engine.Start(); err != nil {
 		return nil, errors.Wrapf(err, "serve HTTP on %s", address)
 	}
-	time.Sleep(startTime)
+	time.Sleep(startDelay)
 	return s, nil
 }
 
-// unhurried clears the idle timeout of a connection, its read deadline, while a request is
-// served; nbhttp sets it again afterwards.
-type unhurried struct{ next http.Handler }
+// withoutIdleTimeout clears the idle timeout of a connection, its read deadline, while a request
+// is served; nbhttp sets it again afterwards.
+type withoutIdleTimeout struct{ next http.Handler }
 
-func (u unhurried) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (u withoutIdleTimeout) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if res, ok := w.(*nbhttp.Response); ok && res.Parser != nil {
 		_ = res.Parser.Conn.SetReadDeadline(time.Time{})
 	}
 	u.next.ServeHTTP(w, r)
 }
 
-// full returns the handler of requests on connections beyond MaxConnections.
-func (o Options) full() http.Handler {
+// rejectHandler returns the handler of requests on connections beyond MaxConnections.
+func (o Options) rejectHandler() http.Handler {
 	if o.Full != nil {
 		return o.Full
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Retry-After", comeBack)
+		w.Header().Set("Retry-After", retryAfterSeconds)
 		http.Error(w, "too many connections", http.StatusServiceUnavailable)
 	})
 }
 
-// bounded passes requests to full and closes their connections while more than most connections
-// are open; most 0 means no limit. It answers because a caller whose connection is closed
-// without an answer reconnects at once.
-type bounded struct {
-	next, full http.Handler
-	open       *atomic.Int64
-	most       int64
+// connectionLimiter passes requests to reject, and closes their connections, while more than
+// maxOpen connections are open; maxOpen 0 means no limit. It answers because a caller whose
+// connection is closed without an answer reconnects at once.
+type connectionLimiter struct {
+	next, reject http.Handler
+	open         *atomic.Int64
+	maxOpen      int64
 }
 
-func (b bounded) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if b.most == 0 || b.open.Load() <= b.most {
+func (b connectionLimiter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if b.maxOpen == 0 || b.open.Load() <= b.maxOpen {
 		b.next.ServeHTTP(w, r)
 		return
 	}
 	w.Header().Set("Connection", "close")
-	b.full.ServeHTTP(w, r)
+	b.reject.ServeHTTP(w, r)
 }
 
-// order counts open connections. It also makes the accepting goroutine's writes to a connection
-// happen before the reads of the poller goroutine, through the atomic counter opened: the kernel
-// orders the two through epoll, but Go's memory model and the race detector do not know that.
-func (s *Server) order() {
+// trackConnections counts open connections. It also makes the accepting goroutine's writes to a
+// connection happen before the reads of the poller goroutine, through the atomic counter opened:
+// the kernel orders the two through epoll, but Go's memory model and the race detector do not
+// know that.
+func (s *Server) trackConnections() {
 	s.engine.OnOpen(func(net.Conn) {
 		s.opened.Add(1)
 		s.open.Add(1)
@@ -169,7 +171,7 @@
 	})
 	select {
 	case <-stopped:
-	case <-time.After(stopTime):
+	case <-time.After(stopTimeout):
 		// A poller that started too late keeps running, but gets no more events.
 	}
 	s.group.Stop()
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -68,7 +68,7 @@
 })
 
 var _ = Describe("Connections beyond the maximum", func() {
-	const most = 8
+	const maxConnections = 8
 
 	// get sends a request on a connection and returns the answer.
 	get := func(c net.Conn) *http.Response {
@@ -82,7 +82,7 @@
 	}
 
 	It("are refused with a Retry-After, and served once others are closed", func() {
-		server, err := httpserver.New("127.0.0.1:0", http.NotFoundHandler(), httpserver.Options{MaxConnections: most, Pollers: 1})
+		server, err := httpserver.New("127.0.0.1:0", http.NotFoundHandler(), httpserver.Options{MaxConnections: maxConnections, Pollers: 1})
 		Expect(err).NotTo(HaveOccurred())
 		defer server.Stop()
 		dial := func() net.Conn {
@@ -92,7 +92,7 @@
 			return c
 		}
 		var list []net.Conn
-		for range most {
+		for range maxConnections {
 			list = append(list, dial())
 			Expect(get(list[len(list)-1]).StatusCode).To(Equal(http.StatusNotFound))
 		}
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -14,8 +14,8 @@
 	"github.com/stepcroft/stepcroft/internal/request"
 )
 
-// mailbox is the maximum number of events queued for the control loop.
-const mailbox = 4096
+// maxQueuedEvents is the maximum number of events queued for the control loop.
+const maxQueuedEvents = 4096
 
 // event is a function that the control loop runs on the control state.
 type event func(s *control.State, now time.Time)
@@ -27,11 +27,12 @@
 }
 
 func newLoop(g *group.Group) *loop {
-	return &loop{events: make(chan event, mailbox), done: g.Context().Done()}
+	return &loop{events: make(chan event, maxQueuedEvents), done: g.Context().Done()}
 }
 
-// do queues an event, waiting while the queue is full. After the loop has ended it does nothing.
-func (l *loop) do(e event) {
+// post queues an event, waiting while the queue is full. After the loop has ended it does
+// nothing.
+func (l *loop) post(e event) {
 	select {
 	case l.events <- e:
 	case <-l.done:
@@ -41,7 +42,7 @@
 // call queues an event and waits until it has run or the loop has ended.
 func (l *loop) call(e event) {
 	ran := make(chan struct{})
-	l.do(func(s *control.State, now time.Time) {
+	l.post(func(s *control.State, now time.Time) {
 		e(s, now)
 		close(ran)
 	})
@@ -67,47 +68,47 @@
 	}
 }
 
-// outlet delivers the control state's decisions to the waiting requests and its messages to
+// delivery passes the control state's decisions to the waiting requests and its messages to
 // other routers.
-type outlet struct{ peers *peer.Transport }
+type delivery struct{ peers *peer.Transport }
 
-func (outlet) Decide(t *request.Ticket, d request.Decision) { t.Decision <- d }
+func (delivery) Decide(t *request.Ticket, d request.Decision) { t.Decision <- d }
 
-func (o outlet) Send(to member.Member, m message.Message) { o.peers.Send(to, m) }
+func (o delivery) Send(to member.Member, m message.Message) { o.peers.Send(to, m) }
 
-// core gives the handler of callers' requests access to the control loop.
-type core struct{ router *Router }
+// controlLoop gives the handler of callers' requests access to the control loop.
+type controlLoop struct{ router *Router }
 
-func (c core) Submit(t *request.Ticket) {
-	c.router.loop.do(func(s *control.State, now time.Time) { s.Arrive(t, now) })
+func (c controlLoop) Submit(t *request.Ticket) {
+	c.router.loop.post(func(s *control.State, now time.Time) { s.Arrive(t, now) })
 }
 
-func (c core) Cancel(t *request.Ticket, reason request.Reason) {
-	c.router.loop.do(func(s *control.State, _ time.Time) { s.Cancel(t, reason) })
+func (c controlLoop) Cancel(t *request.Ticket, reason request.Reason) {
+	c.router.loop.post(func(s *control.State, _ time.Time) { s.Cancel(t, reason) })
 }
 
-func (c core) Retry(t *request.Ticket) {
-	c.router.loop.do(func(s *control.State, now time.Time) { s.Retry(t, now) })
+func (c controlLoop) Retry(t *request.Ticket) {
+	c.router.loop.post(func(s *control.State, now time.Time) { s.Retry(t, now) })
 }
 
-func (c core) Finish(t *request.Ticket, end request.End) {
-	c.router.loop.do(func(s *control.State, now time.Time) { s.Finish(t, end, now) })
+func (c controlLoop) Finish(t *request.Ticket, end request.End) {
+	c.router.loop.post(func(s *control.State, now time.Time) { s.Finish(t, end, now) })
 }
 
-func (c core) Snapshot() config.Snapshot {
+func (c controlLoop) Snapshot() config.Snapshot {
 	if s := c.router.snapshot.Load(); s != nil {
 		return *s
 	}
 	return config.Snapshot{}
 }
 
-func (c core) Members() []member.Member {
+func (c controlLoop) Members() []member.Member {
 	var list []member.Member
 	c.router.loop.call(func(s *control.State, now time.Time) { list = s.LiveRouters(now) })
 	return list
 }
 
-func (c core) Lookup(router string) (member.Member, bool) {
+func (c controlLoop) Lookup(router string) (member.Member, bool) {
 	var (
 		m  member.Member
 		ok bool
--- a/internal/router/poll.go
+++ b/internal/router/poll.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// pollPeriod is the interval between two polls of an engine's load by its owner.
-	pollPeriod = time.Second
-	// pollCheck is the interval between two checks for engines whose poll is due, among them
-	// newly owned ones.
-	pollCheck = 100 * time.Millisecond
+	// pollInterval is the interval between two polls of an engine's load by its owner.
+	pollInterval = time.Second
+	// pollCheckInterval is the interval between two checks for engines whose poll is due,
+	// among them newly owned ones.
+	pollCheckInterval = 100 * time.Millisecond
 	// pollTimeout bounds the time of a single poll.
 	pollTimeout = 800 * time.Millisecond
 )
 
 // pollEngines polls the load of the engines that this router owns until ctx ends.
 func (r *Router) pollEngines(ctx context.Context) {
-	asked := map[string]time.Time{}
-	ticker := time.NewTicker(pollCheck)
+	lastPolled := map[string]time.Time{}
+	ticker := time.NewTicker(pollCheckInterval)
 	defer ticker.Stop()
 	for {
-		for _, box := range r.due(asked) {
+		for _, box := range r.dueEngines(lastPolled) {
 			r.group.Go(func() { r.pollEngine(ctx, box) })
 		}
 		select {
@@ -36,23 +36,23 @@
 	}
 }
 
-// due returns the owned engines whose poll is due and sets the time of their last poll, which
-// asked holds by name. It deletes the engines that are no longer owned from asked.
-func (r *Router) due(asked map[string]time.Time) []config.Box {
+// dueEngines returns the owned engines whose poll is due and sets their time in lastPolled, which
+// holds the time of the last poll by name. It deletes engines that are no longer owned from it.
+func (r *Router) dueEngines(lastPolled map[string]time.Time) []config.Box {
 	var owned, due []config.Box
 	r.loop.call(func(s *control.State, _ time.Time) { owned = s.OwnedEngines() })
 	now := clock.Now()
-	keep := map[string]bool{}
+	isOwned := map[string]bool{}
 	for _, box := range owned {
-		keep[box.Name] = true
-		if now.Sub(asked[box.Name]) >= pollPeriod {
-			asked[box.Name] = now
+		isOwned[box.Name] = true
+		if now.Sub(lastPolled[box.Name]) >= pollInterval {
+			lastPolled[box.Name] = now
 			due = append(due, box)
 		}
 	}
-	for name := range asked {
-		if !keep[name] {
-			delete(asked, name)
+	for name := range lastPolled {
+		if !isOwned[name] {
+			delete(lastPolled, name)
 		}
 	}
 	return due
@@ -63,7 +63,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	load, err := r.engines.Load(ctx, box.Address)
-	r.loop.do(func(s *control.State, now time.Time) {
+	r.loop.post(func(s *control.State, now time.Time) {
 		if err != nil {
 			s.MarkUnreachable(box.Name)
 			return
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -44,9 +44,9 @@
 // Limits on the records kept of past requests: their number, their total size in bytes, and the
 // size of a single body in bytes.
 const (
-	maxRecords     = 100000
-	maxRecordBytes = 32 << 20
-	maxRecordBody  = 64 << 10
+	maxRecords         = 100000
+	maxRecordsBytes    = 32 << 20
+	maxRecordBodyBytes = 64 << 10
 )
 
 // Options configures a router. Zero durations and numbers mean the defaults above.
@@ -127,15 +127,15 @@
 }
 
 // refuse answers a request that does not reach httpcaller.Handler.
-func refuse(w http.ResponseWriter, why request.Reason, detail string) {
+func refuse(w http.ResponseWriter, reason request.Reason, detail string) {
 	w.Header().Set(httpcaller.HeaderOutcome, string(request.NotRun))
-	w.Header().Set(httpcaller.HeaderReason, string(why))
+	w.Header().Set(httpcaller.HeaderReason, string(reason))
 	w.Header().Set("Retry-After", "1")
-	http.Error(w, detail, why.Status())
+	http.Error(w, detail, reason.Status())
 }
 
-// full refuses requests on connections beyond the maximum.
-func (r *Router) full(w http.ResponseWriter, _ *http.Request) {
+// rejectConnection refuses requests on connections beyond the maximum.
+func (r *Router) rejectConnection(w http.ResponseWriter, _ *http.Request) {
 	r.metrics.Refused(request.ReasonProcessFull)
 	refuse(w, request.ReasonProcessFull, "too many connections")
 }
@@ -149,7 +149,7 @@
 		return nil, errors.Wrapf(err, "listen for routers on %s", o.PeerListen)
 	}
 	r.callers, err = httpserver.New(o.Listen, &r.gate, httpserver.Options{
-		MaxConnections: o.MaxConnections, Full: http.HandlerFunc(r.full), Pollers: o.Pollers,
+		MaxConnections: o.MaxConnections, Full: http.HandlerFunc(r.rejectConnection), Pollers: o.Pollers,
 	})
 	if err != nil {
 		listener.Close()
@@ -159,28 +159,28 @@
 		ID: message.RouterID(o.ID), Zone: o.Zone, Address: r.callers.Address(),
 		Peer: listener.Addr().String(), Incarnation: uint64(clock.Wall().UnixNano()),
 	}
-	r.assemble(listener)
+	r.startParts(listener)
 	return r, r.startAdmin()
 }
 
-// assemble creates the router's parts and starts their goroutines.
-func (r *Router) assemble(listener net.Listener) {
+// startParts creates the router's parts and starts their goroutines.
+func (r *Router) startParts(listener net.Listener) {
 	o := r.options
 	random := rand.New(rand.NewPCG(o.Seed, r.self.Incarnation))
 	r.loop = newLoop(r.group)
 	r.syncer = configsync.New(configsync.Options{
-		Platform: o.Platform, Self: r.self, Apply: r.configure, Live: core{r}.Members, Send: r.send, Log: o.Log,
+		Platform: o.Platform, Self: r.self, Apply: r.configure, Live: controlLoop{r}.Members, Send: r.send, Log: o.Log,
 	})
 	r.peers = peer.New(context.Background(), r.self, listener, r.receive, o.Log)
 	state := control.New(control.Options{
 		Self: r.self, ReportPeriod: o.ReportPeriod, RouterTimeout: o.Timeout, MaxWaiting: o.MaxWaiting, ViewDelay: o.ViewDelay, Policy: o.Policy,
-	}, outlet{r.peers}, random, clock.Now())
+	}, delivery{r.peers}, random, clock.Now())
 	r.handler = httpcaller.New(httpcaller.Options{
-		Core: core{r}, Self: r.self, Engine: r.engines, Service: r.engines,
-		Records: request.NewRecords(maxRecords, maxRecordBytes, maxRecordBody),
+		Core: controlLoop{r}, Self: r.self, Engine: r.engines, Service: r.engines,
+		Records: request.NewRecords(maxRecords, maxRecordsBytes, maxRecordBodyBytes),
 		Budget:  request.NewBudget(), Metrics: r.metrics, Log: o.Log,
 	})
-	r.publish()
+	r.publishMetrics()
 	r.group.GoContext(func(ctx context.Context) { r.loop.run(ctx, state, o.ReportPeriod) })
 	r.group.GoContext(r.syncer.Run)
 	r.group.GoContext(r.pollEngines)
@@ -202,13 +202,13 @@
 
 func (r *Router) receive(from member.Member, m message.Message) {
 	r.syncer.Receive(from, m)
-	r.loop.do(func(s *control.State, now time.Time) { s.Receive(from, m, now) })
+	r.loop.post(func(s *control.State, now time.Time) { s.Receive(from, m, now) })
 }
 
 // configure applies a configuration. The first one lets the gate pass requests.
 func (r *Router) configure(snapshot config.Snapshot) {
 	r.snapshot.Store(&snapshot)
-	r.loop.do(func(s *control.State, now time.Time) { s.Configure(snapshot, now) })
+	r.loop.post(func(s *control.State, now time.Time) { s.Configure(snapshot, now) })
 	r.gate.handler.CompareAndSwap(nil, r.handler)
 }
 
@@ -234,8 +234,8 @@
 	return status
 }
 
-// publish registers the metrics that are computed when they are read.
-func (r *Router) publish() {
+// publishMetrics registers the metrics that are computed when they are read.
+func (r *Router) publishMetrics() {
 	r.metrics.Set("control", func() any { return r.Status() })
 	r.metrics.Set("peers", func() any { return r.peers.Stats() })
 	r.metrics.Set("config", func() any { return r.syncer.Stats() })
@@ -254,13 +254,13 @@
 // that callers are given. It serves callers that got an older list until that has expired, then
 // refuses new requests, and Drain returns when the last request has ended.
 func (r *Router) Drain(ctx context.Context) error {
-	r.loop.do(func(s *control.State, now time.Time) { s.Leave(now) })
+	r.loop.post(func(s *control.State, now time.Time) { s.Leave(now) })
 	select {
 	case <-ctx.Done():
 		return errors.Wrap(ctx.Err(), "drain")
 	case <-time.After(httpcaller.AddressLifetime):
 	}
-	r.loop.do(func(s *control.State, _ time.Time) { s.Close() })
+	r.loop.post(func(s *control.State, _ time.Time) { s.Close() })
 	for !r.idle() {
 		select {
 		case <-ctx.Done():
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -146,7 +146,7 @@
 	detail             string
 }
 
-var badRequests = map[string]badRequest{
+var badRequestCases = map[string]badRequest{
 	"no JSON":          {"POST", "/v1/chat/completions", "{", nil, request.ReasonBadRequest, "not the JSON"},
 	"no model":         {"POST", "/v1/chat/completions", "{}", nil, request.ReasonBadRequest, "field model"},
 	"no messages":      {"POST", "/v1/chat/completions", `{"model":"chat"}`, nil, request.ReasonBadRequest, "field messages"},
@@ -185,7 +185,7 @@
 		}
 	})
 
-	for name, c := range badRequests {
+	for name, c := range badRequestCases {
 		It("refuses with a reason, a detail and whether the request ran: "+name, func() {
 			a := s.do(s.routers[0], c.method, c.path, c.body, c.header...)
 			Expect(a.reason).To(Equal(c.reason), a.body)
--- a/internal/sockopt/accept.go
+++ b/internal/sockopt/accept.go
@@ -32,22 +32,22 @@
 // Accept waits for a connection and returns it.
 func (a *Acceptor) Accept() (Socket, error) {
 	var fd int
-	var failed error
-	err := a.raw.Read(func(listening uintptr) bool {
-		fd, failed = accept(int(listening))
-		return failed != syscall.EAGAIN
+	var callErr error
+	err := a.raw.Read(func(listener uintptr) bool {
+		fd, callErr = accept(int(listener))
+		return callErr != syscall.EAGAIN
 	})
 	if err != nil {
 		return 0, err
 	}
-	return Socket(fd), failed
+	return Socket(fd), callErr
 }
 
 // accept accepts a connection. It retries if the call was interrupted or the connection was
 // aborted before it was accepted, and returns EAGAIN if there is none.
-func accept(listening int) (int, error) {
+func accept(listener int) (int, error) {
 	for {
-		fd, _, err := syscall.Accept4(listening, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+		fd, _, err := syscall.Accept4(listener, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 		if err != syscall.EINTR && err != syscall.ECONNABORTED {
 			return fd, err
 		}
--- a/internal/sockopt/accept_test.go
+++ b/internal/sockopt/accept_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestBacklogBoundsWhatWaits(t *testing.T) {
+func TestBacklogLimitsPendingConnections(t *testing.T) {
 	l, _ := listening(t)
 	if err := sockopt.Backlog(l, 1); err != nil {
 		t.Fatal(err)
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -16,29 +16,29 @@
 // once sent data has been unacknowledged for d.
 func UserTimeout(d time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var failed error
+		var callErr error
 		err := raw.Control(func(fd uintptr) {
-			failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
+			callErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		return callErr
 	}
 }
 
 // Backlog sets the maximum number of connections in a TCP listener's accept queue. While it is
 // full, the kernel drops SYN packets.
-func Backlog(l *net.TCPListener, most int) error {
+func Backlog(l *net.TCPListener, maxPending int) error {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var failed error
-	if err := raw.Control(func(fd uintptr) { failed = syscall.Listen(int(fd), most) }); err != nil {
+	var callErr error
+	if err := raw.Control(func(fd uintptr) { callErr = syscall.Listen(int(fd), maxPending) }); err != nil {
 		return err
 	}
-	return failed
+	return callErr
 }
 
 // Quiet reports whether a TCP connection is open and has no unread input. Another goroutine may
@@ -61,15 +61,15 @@
 // and for connections that are not TCP.
 func ReadNow(c net.Conn, b []byte) int {
 	n := 0
-	if err := onSocket(c, func(fd int) { n, _ = syscall.Read(fd, b) }); err != nil {
+	if err := withDescriptor(c, func(fd int) { n, _ = syscall.Read(fd, b) }); err != nil {
 		return 0
 	}
 	return max(n, 0)
 }
 
-// onSocket calls f with the file descriptor of a TCP connection, unless it is closed. For
+// withDescriptor calls f with the file descriptor of a TCP connection, unless it is closed. For
 // connections that are not TCP it returns EAGAIN.
-func onSocket(c net.Conn, f func(fd int)) error {
+func withDescriptor(c net.Conn, f func(fd int)) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return syscall.EAGAIN
@@ -88,13 +88,13 @@
 // not TCP.
 func peek(c net.Conn) (int, error) {
 	n := 0
-	var failed error
-	err := onSocket(c, func(fd int) {
+	var callErr error
+	err := withDescriptor(c, func(fd int) {
 		var one [1]byte
-		n, _, failed = syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, callErr = syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	if err != nil {
 		return 0, err
 	}
-	return n, failed
+	return n, callErr
 }
--- a/internal/sockopt/sockopt_test.go
+++ b/internal/sockopt/sockopt_test.go
@@ -52,13 +52,13 @@
 		},
 		"closed by the remote side": func(other net.Conn) error { return other.Close() },
 	}
-	for name, disturb := range cases {
+	for name, act := range cases {
 		t.Run(name, func(t *testing.T) {
 			a, b := pair(t)
 			if !sockopt.Quiet(a) {
 				t.Fatal("Quiet is false for a new connection")
 			}
-			if err := disturb(b); err != nil {
+			if err := act(b); err != nil {
 				t.Fatal(err)
 			}
 			eventually(t, "Quiet is still true", func() bool { return !sockopt.Quiet(a) })
