--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,5 +1,6 @@
-// Package message defines what routers say to one another. Messages carry
-// control state only: never request bodies and never tokens.
+// Package message defines the messages that routers exchange. Messages carry control state
+// only, never request bodies or tokens. Package adapter/peer encodes them as the protobuf
+// messages of the same names.
 package message
 
 import (
@@ -8,48 +9,48 @@
 	"github.com/stepcroft/stepcroft/internal/quarantine"
 )
 
-// RouterID names a router within the fleet; it comes from its settings.
+// RouterID is the name of a router from its settings, unique within the fleet.
 type RouterID string
 
 // Message is one of the types below.
 type Message interface{ message() }
 
-// Report is a router's periodic account of itself. Service is cumulative
-// within one incarnation, so a lost report costs nothing but age.
+// Report is what a router periodically reports about its pools. Service counts are
+// cumulative within one incarnation, so the next report makes up for a lost one.
 type Report struct {
 	Incarnation uint64
 	Sequence    uint64
-	// Leaving is set from the moment a planned stop begins.
+	// Leaving is set once the router has begun a planned shutdown.
 	Leaving bool
 	// Revision is the newest configuration revision the router has applied.
 	Revision uint64
 	Pools    []PoolReport
 }
 
-// PoolReport is the part of a Report that concerns one engine pool.
+// PoolReport is the part of a Report about one pool of engines.
 type PoolReport struct {
 	Pool string
 	// Free is the number of free slots on engines that the router owns.
 	Free int
-	// Organisations leaves out those with nothing waiting and no more
-	// service than was last reported.
+	// Organisations omits those that have no waiting requests and whose service has not
+	// changed since the last report.
 	Organisations []OrganisationReport
 }
 
-// OrganisationReport tells what one router has done for one organisation.
+// OrganisationReport holds the service and the queue of one organisation at one router.
 type OrganisationReport struct {
 	Organisation string
 	// Service is the number of cost units served since the router started.
 	Service uint64
 	// Waiting is the number of requests queued at the router.
 	Waiting int
-	// Backlogged is set if the first of them has waited for a report period
-	// or longer: the organisation asks for more than it gets, and does not
-	// just have a request on its way through.
+	// Backlogged is set if the first of them has waited for a report period or longer: the
+	// organisation demands more than it is served, rather than having a request that is about
+	// to be dispatched.
 	Backlogged bool
 }
 
-// Grant offers a free slot on an engine to a router that holds work.
+// Grant offers a free slot on an engine to a router that has waiting requests.
 type Grant struct {
 	Slot         uint64
 	Engine       string
@@ -59,137 +60,137 @@
 // Decline returns a granted slot unused.
 type Decline struct {
 	Slot uint64
-	// Unknown is set in answer to an Audit: the sender does not hold the
-	// slot, and cannot say whether it was ever used.
+	// Unknown is set in reply to an Audit if the sender does not hold the slot and does not
+	// know whether it was ever used.
 	Unknown bool
 }
 
-// Done returns a slot after its request ended.
+// Done returns a slot after its request has ended.
 type Done struct {
 	Slot         uint64
 	Organisation string
-	// Cost is what the request came to, in cost units.
+	// Cost is the request's final cost, in cost units.
 	Cost float64
-	// Waiting is what the sender still has queued for the organisation.
+	// Waiting is the number of the organisation's requests still queued at the sender.
 	Waiting int
-	// Partial and Failed are those of request.End.
+	// Partial and Failed are copied from request.End.
 	Partial bool
 	Failed  bool
 }
 
-// Ask tells an owner that a router has work waiting which none of its own
+// Ask tells the owner of engines that the sender has waiting requests which none of its own
 // engines can take now.
 type Ask struct {
 	Pool         string
 	Organisation string
 	Waiting      int
-	// Free is set if the sender believes that the receiver has free slots;
-	// one that has none answers with Idle and no slots.
+	// Free is set if, as far as the sender knows, the receiver has free slots. A receiver
+	// without any replies with an Idle that reports no slots.
 	Free bool
 }
 
-// Idle tells other routers at once that the sender has free slots and found
-// no work for them, or in answer to an Ask that it has none; without it they
-// would hear with the next report.
+// Idle tells other routers that the sender has free slots and no requests for them, or, in
+// reply to an Ask, that it has no free slots. It saves them from waiting for the next Report.
 type Idle struct {
 	Pool string
 	Free int
 }
 
-// Audit lists slots that the receiver was granted a while ago, to find those
-// whose grant or return was lost.
+// Audit lists slots that were granted to the receiver a while ago, to find those whose Grant,
+// Decline or Done was lost.
 type Audit struct {
 	Slots []uint64
 }
 
-// Objects carries configuration: the objects in force at the sender that were
-// written after revision Since, complete up to Revision.
+// Objects carries configuration: the objects in force at the sender that were written after
+// revision Since, complete up to Revision.
 type Objects struct {
 	Since    uint64
 	Revision uint64
-	// Objects are stored objects in JSON.
+	// Objects holds the stored objects as JSON.
 	Objects [][]byte
 }
 
-// Want asks for the configuration written after a revision.
+// Want asks for the Objects written after a revision.
 type Want struct {
 	Since uint64
 }
 
-// Held counts the requests that the sender runs on an engine by grants of an
-// earlier owner. An owner that
-// has just taken the engine over learns its used slots from it.
+// Held tells the owner of an engine how many requests the sender runs there in slots that an
+// earlier owner granted. A router that has just taken the engine over learns from it which
+// slots are in use.
 type Held struct {
 	Engine string
 	Slots  []uint64
-	// Foreign is that number; it replaces the one said before.
+	// Foreign is the number of those requests; it replaces the number last sent.
 	Foreign int
 }
 
-// Status is what a router that serves callers tells the others that do: what its
-// requests put on targets and what organisations asked of it.
+// Status is what a router that serves callers reports to the other serving routers: the load
+// of its requests on targets, and the demand and usage of organisations.
 type Status struct {
 	Revisions
 	Loads []TargetLoad
 	Usage []OrganisationUsage
-	// SharedParts tells of shared parts of prompts that were sent to targets lately.
+	// SharedParts lists the shared prompt prefixes that were recently sent to each target.
 	SharedParts []TargetParts
 }
 
-// ZoneStatus is the sum of what the serving routers of an availability zone report.
+// ZoneStatus is the sum of the Status messages of an availability zone's serving routers.
 type ZoneStatus struct {
 	Zone   string
 	Status Status
 }
 
-// TargetParts names parts of prompts that a target keeps.
+// TargetParts names the shared prompt prefixes that a target has cached.
 type TargetParts struct {
 	Target string
 	Parts  []string
 }
 
-// TargetLoad is what one router's requests put on a target.
+// TargetLoad is the load of one router's requests on a target.
 type TargetLoad struct {
 	Target string
-	// PendingTokens is the prompt tokens sent and not yet read, MemoryTokens the tokens
-	// that running requests share with no other.
+	// PendingTokens is the number of prompt tokens sent and not yet processed, Running the
+	// number of requests sent and not finished, and MemoryTokens the number of tokens of
+	// running requests that no other request shares.
 	PendingTokens, Running, MemoryTokens int
 }
 
-// Loads replaces what the sender's last Status said of a few targets. It is
-// sent at once where much has changed; Deltas is the change, for those who know the
-// sender's loads only as a part of a sum.
+// Loads replaces the loads of a few targets in the sender's last Status. It is sent as soon as
+// a load has changed by much. Deltas holds the changes, for receivers that know the sender's
+// loads only as a part of a zone's sum.
 type Loads struct {
 	Loads, Deltas []TargetLoad
 }
 
-// OrganisationUsage is what an organisation lately asked of one router and
-// got, in tokens.
+// OrganisationUsage holds the tokens that an organisation recently demanded of one router and
+// the tokens of its requests that were started.
 type OrganisationUsage struct {
 	Organisation    string
 	Demand, Started float64
-	// Waiting is the number of its requests to engines that wait for room.
+	// Waiting is the number of its requests that wait for engine capacity.
 	Waiting int
 }
 
-// Revisions says how new a router's copy of the store is: the store's revisions of the
-// configuration in force and of the newest changes to the lists of targets and of drained
-// availability zones. Revisions rise over the store's whole life, also where it comes back
-// from an older copy.
+// Revisions tells how recent a router's copy of the store is: the store's revisions of the
+// configuration in force and of the latest changes to the lists of targets and of drained
+// availability zones. Revisions keep rising over the store's whole life, even when it is
+// restored from an older copy.
 type Revisions struct {
 	Config, Targets, Zones int64
-	// Version is the one that the configuration itself names, 0 where it is not known. It
-	// orders configurations: a store that came back older may hold one that is out of date
-	// at a later revision.
+	// Version is the version written in the configuration itself, 0 if unknown. It decides
+	// which of two configurations is newer: a store restored from an older copy may hold an
+	// outdated configuration at a later revision.
 	Version int64
 }
 
-// NewerThan reports whether anything is newer than in other revisions.
+// NewerThan reports whether any part of r is newer than in other.
 func (r Revisions) NewerThan(other Revisions) bool {
 	return r.ConfigNewerThan(other) || r.Targets > other.Targets || r.Zones > other.Zones
 }
 
-// ConfigNewerThan reports whether the configuration is newer than in other revisions.
+// ConfigNewerThan reports whether the configuration of r is newer than that of other.
 func (r Revisions) ConfigNewerThan(other Revisions) bool {
 	if r.Version != other.Version && r.Version > 0 && other.Version > 0 {
 		return r.Version > other.Version
@@ -197,24 +198,24 @@
 	return r.Config > other.Config
 }
 
-// Copy is a router's copy of what the store holds. An empty Config means
-// that it has none newer than was asked for.
+// Copy is a router's copy of the store's contents, sent in reply to a NeedCopy. Config is
+// empty if the sender has none newer than the receiver's.
 type Copy struct {
 	ConfigRevision int64
 	Config         []byte
 	Targets, Zones StoredObjects
-	// UnstableFor is for how much longer entries that go may have gone only
-	// because the store was away.
+	// UnstableFor is the remaining time in which an entry's removal may only mean that its
+	// TTL ran out while the store was unavailable.
 	UnstableFor time.Duration
 }
 
-// StoredObjects is what is to be said of the store's objects of one kind.
+// StoredObjects holds the store's objects of one kind, or the changes to them.
 type StoredObjects struct {
-	// Revision is 0 if there is nothing newer to say.
+	// Revision is 0 if the sender has nothing newer.
 	Revision int64
-	// Since is 0 if List is the whole list as of Revision; else List has the objects
-	// that came or changed after revision Since, and Removed those that were deleted, without
-	// values.
+	// Since is 0 if List is the whole list as of Revision. Otherwise, List holds the objects
+	// that were created or changed after revision Since, and Removed those that were deleted
+	// after it, without values.
 	Since         int64
 	List, Removed []StoredObject
 }
@@ -226,23 +227,24 @@
 	Value    []byte
 }
 
-// NeedCopy asks for a Copy of what is newer than the given revisions.
+// NeedCopy asks for a Copy of what is newer than the sender's revisions.
 type NeedCopy Revisions
 
-// RouterState is what is believed of a router.
+// RouterState tells whether a router is believed to be running.
 type RouterState uint8
 
-// The beliefs, each of which outweighs the ones before it.
+// The states of a router. Of two records with the same version, the one with the later state
+// in this list wins.
 const (
-	// Alive is what a router says of itself.
+	// Alive routers answer pings. A router always reports itself as alive.
 	Alive RouterState = iota
-	// Suspected routers have not answered.
+	// Suspected routers have not answered a ping.
 	Suspected
-	// Gone routers have not answered and have not denied being suspected.
+	// Gone routers have neither answered nor refuted the suspicion in time.
 	Gone
 )
 
-// String returns the belief in a word.
+// String returns the state's name.
 func (s RouterState) String() string {
 	switch s {
 	case Alive:
@@ -255,19 +257,19 @@
 	return "unknown"
 }
 
-// RouterRecord is what a router last said of itself, or what others believe of
-// it since.
+// RouterRecord is what a router last reported about itself, with the state in which the other
+// routers have seen it since.
 type RouterRecord struct {
 	ID   RouterID
 	Zone string
-	// Address is where callers connect, Peer where other routers do.
+	// Address is the address for callers, Peer the one for other routers.
 	Address, Peer string
-	// Incarnation tells a router's lives apart; Version orders what is said
-	// during one of them.
+	// Incarnation identifies one run of the router's process; Version orders the records of
+	// one incarnation.
 	Incarnation, Version uint64
 	State                RouterState
-	// Ready is set while the router can serve callers, Leaving once it makes a
-	// planned stop, Serving while it has requests or had some lately.
+	// Ready is set while the router can serve callers, Leaving once it has begun a planned
+	// shutdown, Serving while it has requests or had some recently.
 	Ready, Leaving, Serving bool
 	// StoreTrouble is set while the router's calls to the store fail.
 	StoreTrouble bool
@@ -275,41 +277,40 @@
 	Capacity float64
 }
 
-// PingKind is what a Ping is for.
+// PingKind tells what a Ping is for.
 type PingKind uint8
 
 // The kinds of a Ping.
 const (
 	// PingRequest asks the receiver for a PingReply.
 	PingRequest PingKind = iota
-	// PingReply is the sign of life that was asked for.
+	// PingReply answers a PingRequest.
 	PingReply
-	// PingNotice only passes on what is new.
+	// PingNotice spreads updates and expects no reply.
 	PingNotice
 )
 
-// Ping asks for a sign of life, answers, or passes on what is new.
+// Ping checks whether the receiver is alive, replies to such a check, or spreads updates.
 type Ping struct {
 	From RouterRecord
 	Kind PingKind
 	// Revisions are the sender's.
 	Revisions
-	// Digest is a hash over all that the sender knows of routers that are not
-	// gone, in any order.
+	// Digest is a hash of the sender's records of routers that are not gone. It does not
+	// depend on their order.
 	Digest uint64
-	// WantAll is set if the sender asks for all that the receiver knows of
-	// routers.
+	// WantAll asks the receiver for all its records of routers.
 	WantAll bool
 	Records []RouterRecord
-	// QuarantineDigest is a hash over all that the sender knows of requests that ended
-	// targets.
+	// QuarantineDigest is a hash of the sender's records of requests under which targets
+	// crashed.
 	QuarantineDigest uint64
 }
 
-// Quarantine tells of requests that ended targets.
+// Quarantine carries records of requests under which targets crashed.
 type Quarantine struct {
 	Records []quarantine.Record
-	// WantAll is set if the sender asks for all that the receiver knows of them.
+	// WantAll asks the receiver for all its records of such requests.
 	WantAll bool
 }
 
