--- a/internal/quarantine/accuse.go
+++ b/internal/quarantine/accuse.go
@@ -2,83 +2,87 @@
 
 import "time"
 
-// Common reports whether all routers are to know of a request: more targets ended under it
-// than by chance, or another router says so. It then stays so.
+// Shared reports whether all routers need to know of a request: more targets crashed under it
+// than by chance, or another router reported so. Once set, it stays set.
 func (s *State) Common(k Key) bool {
 	e := s.entries[k]
 	if e == nil {
 		return false
 	}
-	if !e.common && s.accused(e) {
+	if !e.shared && s.implicated(e) {
 		s.share(k, e)
 	}
-	return e.common
+	return e.shared
 }
 
-// accused reports whether a request is to be sent away. Two targets that ended together
-// accuse it only once it is known how many others did.
-func (s *State) accused(e *entry) bool {
-	switch n := s.counted(e); {
-	case n < pausedFrom:
+// implicated reports whether a request is to be rejected. Two targets that exited at the same
+// time implicate it only once it is known how many others did.
+func (s *State) implicated(e *entry) bool {
+	switch n := s.countedCrashes(e); {
+	case n < minCrashesToReject:
 		return false
-	case n > pausedFrom || e.common:
+	case n > minCrashesToReject || e.shared:
 		return true
 	}
-	last, together := s.ended.together(e)
-	return !together || !s.defers && s.now.Sub(last) >= settleTime
+	last, simultaneous := s.exits.simultaneous(e)
+	return !simultaneous || !s.deferring && s.now.Sub(last) >= decisionDelay
 }
 
+// share marks a request as one that all routers need to know of.
 func (s *State) share(k Key, e *entry) {
-	e.common = true
-	s.digest ^= e.weight(k)
+	e.shared = true
+	s.digest ^= e.digest(k)
 	s.view = nil
 }
 
-// counted returns the number of crashes that are not cleared and that accuse the request.
-func (s *State) counted(e *entry) int {
+// countedCrashes returns the number of crashes that are not cleared and count against the
+// request.
+func (s *State) countedCrashes(e *entry) int {
 	n := 0
 	for target, c := range e.crashes {
-		if !c.Cleared && s.ended.accountsFor(e, target) {
+		if !c.Cleared && s.exits.implicates(e, target) {
 			n++
 		}
 	}
 	return n
 }
 
-// until returns until when the request is sent away; zero if it is not.
-func (s *State) until(e *entry) time.Time {
-	if !s.accused(e) {
+// rejectedUntil returns the time until which the request is rejected, the zero time if it is
+// not.
+func (s *State) rejectedUntil(e *entry) time.Time {
+	if !s.implicated(e) {
 		return time.Time{}
 	}
-	if n := e.trials(); n < len(trialPauses) {
-		return e.crashed.Add(trialPauses[n])
+	if n := e.failedTrials(); n < len(trialDelays) {
+		return e.lastCrash.Add(trialDelays[n])
 	}
 	return e.expires()
 }
 
-// settle finds out which requests turned out to be accused after all, which is news.
-func (s *State) settle(now time.Time) {
+// resolveUndecided marks the undecided requests that turned out to be implicated as updated.
+func (s *State) resolveUndecided(now time.Time) {
 	s.now = latest(s.now, now)
-	for k := range s.settling {
+	for k := range s.undecided {
 		e := s.entries[k]
 		switch {
-		case e == nil || e.common || now.Sub(e.crashed) > brokenTime:
-			delete(s.settling, k)
-		case s.accused(e):
-			delete(s.settling, k)
-			s.news[k] = true
+		case e == nil || e.shared || now.Sub(e.lastCrash) > brokenTTL:
+			delete(s.undecided, k)
+		case s.implicated(e):
+			delete(s.undecided, k)
+			s.updated[k] = true
 		}
 	}
 }
 
-// Quiet reports whether there is no news and none to come with time alone.
-func (s *State) Quiet() bool { return len(s.news) == 0 && len(s.settling) == 0 }
+// NothingPending reports whether there are no updates, and no undecided requests that may
+// become updates with time alone.
+func (s *State) Quiet() bool { return len(s.updated) == 0 && len(s.undecided) == 0 }
 
-// Defer says whether other routers decide if two targets that ended together accuse a
-// request.
-func (s *State) Defer(others bool) {
-	if s.defers != others {
-		s.defers = others
+// DeferToCollectors sets whether other routers decide if two targets that exited at the same
+// time implicate a request.
+func (s *State) Defer(deferring bool) {
+	if s.deferring != deferring {
+		s.deferring = deferring
 		s.view = nil
 	}
 }
--- a/internal/quarantine/ends.go
+++ b/internal/quarantine/ends.go
@@ -6,92 +6,93 @@
 )
 
 const (
-	// massTime is within which time ends of targets count as one event, massFrom the
-	// number of targets from which it is one that needs no request: a zone that goes
-	// dark, a switch, a power supply.
-	massTime = time.Second
-	massFrom = 5
-	// accountPart is the part of the targets of such an event that a request must have
-	// run at to be accused by it.
-	accountPart = 8
-	// settleTime is for how long it is waited, after two targets ended together, whether
-	// more did: news of the others are on their way.
-	settleTime = 300 * time.Millisecond
+	// outageWindow is the time within which exits of targets count as one event.
+	// minOutageTargets is the number of targets from which such an event is taken for an
+	// outage that no request caused, such as that of a zone, a switch or a power supply.
+	outageWindow     = time.Second
+	minOutageTargets = 5
+	// A request must have run at one in outageTargetsPerRun of an outage's targets to be
+	// implicated by it.
+	outageTargetsPerRun = 8
+	// decisionDelay is the wait after two targets exited at the same time until it is
+	// decided whether it was an outage: reports of other exits may be on their way.
+	decisionDelay = 300 * time.Millisecond
 )
 
-// ends has when targets ended, by incarnation, for as long as requests may break off there
-// and other ends may turn out to belong to the same event.
-type ends map[string]*end
+// exits holds the unexpected exits of targets, by incarnation, for as long as answers may break
+// off there and other exits may turn out to belong to the same event.
+type exits map[string]*exit
 
-// end is the end of a target.
-type end struct {
-	// first and last are when it was first and last seen.
+// exit is the unexpected exit of a target's process.
+type exit struct {
+	// first and last are the times of its first and last report.
 	first, last time.Time
-	// judged is set once it was decided whom it accuses.
-	judged bool
+	// decided is set once it has been decided which requests it implicates.
+	decided bool
 }
 
-// note notes that a target has ended.
-func (s ends) note(now time.Time, target string) {
+// add records that a target has exited.
+func (s exits) add(now time.Time, target string) {
 	e := s[target]
 	if e == nil {
-		s[target] = &end{first: now, last: now}
+		s[target] = &exit{first: now, last: now}
 		return
 	}
 	e.last = latest(e.last, now)
 }
 
-// fresh reports whether a target has ended lately.
-func (s ends) fresh(now time.Time, target string) bool {
+// recent reports whether a target has exited recently.
+func (s exits) recent(now time.Time, target string) bool {
 	e := s[target]
-	return e != nil && now.Sub(e.last) <= brokenTime
+	return e != nil && now.Sub(e.last) <= brokenTTL
 }
 
-// judge returns the targets whose ends are old enough to be decided upon, each once.
-func (s ends) judge(now time.Time) []string {
+// takeDue returns the targets whose exits are old enough to decide which requests they
+// implicate, each target once.
+func (s exits) takeDue(now time.Time) []string {
 	var list []string
 	for target, e := range s {
-		if !e.judged && now.Sub(e.first) > brokenTime {
-			e.judged = true
+		if !e.decided && now.Sub(e.first) > brokenTTL {
+			e.decided = true
 			list = append(list, target)
 		}
 	}
 	return list
 }
 
-// forget forgets ends that belong to no event any more.
-func (s ends) forget(now time.Time) {
-	maps.DeleteFunc(s, func(_ string, e *end) bool {
-		return now.Sub(e.first) > brokenTime+massTime && now.Sub(e.last) > brokenTime
+// expire removes exits that are too old to belong to an event.
+func (s exits) expire(now time.Time) {
+	maps.DeleteFunc(s, func(_ string, e *exit) bool {
+		return now.Sub(e.first) > brokenTTL+outageWindow && now.Sub(e.last) > brokenTTL
 	})
 }
 
-// accountsFor reports whether the end of a target accuses a request that ran there: evidence
-// that the request shares with all else that ran at many targets is none.
-func (s ends) accountsFor(r *entry, target string) bool {
+// implicates reports whether the exit of a target counts against a request that ran there. An
+// outage of many targets counts against none of the requests that ran at few of them.
+func (s exits) implicates(r *entry, target string) bool {
 	at := s[target]
 	if at == nil {
 		return true
 	}
-	all, own := 0, 0
+	all, ran := 0, 0
 	for other, e := range s {
-		if e.first.Sub(at.first).Abs() > massTime {
+		if e.first.Sub(at.first).Abs() > outageWindow {
 			continue
 		}
 		all++
-		if c, ran := r.crashes[other]; ran && !c.Cleared {
-			own++
+		if c, ok := r.crashes[other]; ok && !c.Cleared {
+			ran++
 		}
 	}
-	if own < heldFrom {
-		return all < massFrom
+	if ran < minCrashesToHold {
+		return all < minOutageTargets
 	}
-	return own*accountPart >= all
+	return ran*outageTargetsPerRun >= all
 }
 
-// together reports whether all targets that ended under a request did so in one event, and
-// when the last of them was seen to have.
-func (s ends) together(r *entry) (time.Time, bool) {
+// simultaneous reports whether all targets that exited under a request did so in one event,
+// and when the last of these exits was first reported.
+func (s exits) simultaneous(r *entry) (time.Time, bool) {
 	var first, last time.Time
 	for target, c := range r.crashes {
 		if c.Cleared {
@@ -106,5 +107,5 @@
 		}
 		last = latest(last, e.first)
 	}
-	return last, last.Sub(first) <= massTime
+	return last, last.Sub(first) <= outageWindow
 }
--- a/internal/quarantine/exchange.go
+++ b/internal/quarantine/exchange.go
@@ -3,206 +3,209 @@
 import "time"
 
 const (
-	// askPause is the least time between requests for all that another router knows of
-	// suspected requests. Each that brings nothing doubles it, up to askPauseMost:
-	// routers that each had to forget another part never agree.
-	askPause     = 250 * time.Millisecond
-	askPauseMost = 30 * time.Second
-	// collectors is the number of routers that put together what ended where: one may be
-	// gone, or another be in its place for somebody. They rank first for collectorsKey.
-	collectors    = 3
-	collectorsKey = "collect suspected requests"
-	// collectPause is the least time between two reports to them.
-	collectPause = 50 * time.Millisecond
-	// tellRate is what a router tells of suspected requests, in bytes a second, beyond a
-	// burst of tellBurst bytes: what runs at two engines, told to the collectors. What goes
-	// over is not told: to forget a bystander does no harm, and what ends targets comes
-	// again.
-	tellRate  = 1000
-	tellBurst = 8 << 10
-	// takeRate and takeBurst are the same for what a collector takes in: at some 10
-	// microseconds a record 0.1% of a core.
-	takeRate  = 10_000
-	takeBurst = 128 << 10
-	// recordBytes is about what a record takes beside its names, its part of a message
-	// included.
-	recordBytes = 64
+	// minPullInterval is the minimum time between pulls of all records that another router
+	// has of suspected requests. Each pull that yields nothing new doubles the interval, up
+	// to maxPullInterval: routers whose bounds made them drop different records never agree.
+	minPullInterval = 250 * time.Millisecond
+	maxPullInterval = 30 * time.Second
+	// collectorCount is the number of routers that collect which targets exited under which
+	// requests. There are several because one may be gone, or routers may differ on which
+	// rank first. The collectors are the routers that rank first for collectorsKey.
+	collectorCount = 3
+	collectorsKey  = "collect suspected requests"
+	// collectInterval is the minimum time between two reports to the collectors.
+	collectInterval = 50 * time.Millisecond
+	// sendBytesPerSecond bounds what a router sends about suspected requests, beyond a burst
+	// of sendBurstBytes, which is enough to report the requests that run at two engines to
+	// the collectors. Excess records are not sent: losing a request that only ran beside the
+	// cause does no harm, and a request that crashes targets comes again.
+	sendBytesPerSecond = 1000
+	sendBurstBytes     = 8 << 10
+	// receiveBytesPerSecond and receiveBurstBytes bound what a collector accepts. At some 10
+	// microseconds a record, that is 0.1% of a core.
+	receiveBytesPerSecond = 10_000
+	receiveBurstBytes     = 128 << 10
+	// recordOverheadBytes is about the size of a record without its names, including its
+	// share of the message's overhead.
+	recordOverheadBytes = 64
 )
 
-// Fleet says which routers there are, by the addresses at which they hear of suspected
-// requests.
+// Fleet returns routers by the addresses at which they receive records of suspected requests.
 type Fleet interface {
-	// Few returns a few other routers, drawn at random.
+	// RandomPeers returns a few other routers, drawn at random.
 	Few(now time.Time) []string
-	// Ranked returns the n routers that rank first for a key, this one left out if it is
+	// Ranked returns the n routers that rank first for a key, without this one if it is
 	// among them.
 	Ranked(now time.Time, key string, n int) []string
 }
 
-// Parcel is what one router is to be told.
+// Outgoing holds the records to send to one router.
 type Parcel struct {
 	To      string
 	Records []Record
 }
 
-// Exchange decides which routers hear of the requests that a State suspects. The first
-// end of a target under a request is told to a few collectors only: dozens of requests run
-// beside each crash, and told to all, what ran at a zone of engines that went dark cost the
-// fleet more than the fault. From the second on all routers hear of it, from a few who pass it
-// on; where the two came together, the collectors decide, who know what else ended. Use
-// NewExchange to make one; it is driven by the goroutine that drives the State.
+// Exchange decides which routers receive records of the requests that a State suspects. The
+// first crash of a target under a request is reported to a few collectors only: dozens of
+// requests run at a target when it crashes, and sending all of them to all routers after the
+// outage of a zone would cost the fleet more than the outage itself. From the second crash on,
+// the record spreads to all routers by gossip. If both targets exited at the same time, the
+// collectors decide, since they know which other targets did.
+//
+// Use NewExchange to create one. It is driven by the goroutine that drives the State.
 type Exchange struct {
 	state *State
 	fleet Fleet
-	// asked is when another router was last asked for all that it knows, pause for how
-	// long none is asked then.
-	asked time.Time
-	pause time.Duration
-	// first and common bound what is told of first ends and of what all are to know, taken
-	// what is taken in of first ends.
-	first, common, taken allowance
-	// waiting is what the collectors are to be told next, collected when they last were.
-	waiting   []Record
-	collected time.Time
+	// pulledAt is when all records were last pulled from another router, pullInterval the
+	// minimum time until the next pull.
+	pulledAt     time.Time
+	pullInterval time.Duration
+	// firstLimit and sharedLimit bound what is sent about first crashes and about shared
+	// requests, receiveLimit what is accepted about first crashes.
+	firstLimit, sharedLimit, receiveLimit byteLimit
+	// unreported holds the records of the next report to the collectors, reportedAt is when
+	// the last one was sent.
+	unreported []Record
+	reportedAt time.Time
 }
 
-// NewExchange returns an exchange of what a state suspects.
+// NewExchange returns an exchange of the requests that a state suspects.
 func NewExchange(s *State, f Fleet) *Exchange {
-	tells := allowance{rate: tellRate, burst: tellBurst}
+	send := byteLimit{rate: sendBytesPerSecond, burst: sendBurstBytes}
 	return &Exchange{
-		state: s, fleet: f, first: tells, common: tells, taken: allowance{rate: takeRate, burst: takeBurst},
+		state: s, fleet: f, firstLimit: send, sharedLimit: send, receiveLimit: byteLimit{rate: receiveBytesPerSecond, burst: receiveBurstBytes},
 	}
 }
 
-// Found returns what is newly known because of what happened at this router, or with time,
-// and who is to be told of it.
+// Updates returns the records that changed by events at this router or with time, and the
+// records to send to other routers.
 func (x *Exchange) Found(now time.Time) ([]Record, []Parcel) {
-	if x.state.Quiet() && len(x.waiting) == 0 {
+	if x.state.Quiet() && len(x.unreported) == 0 {
 		return nil, nil
 	}
-	others := x.fleet.Ranked(now, collectorsKey, collectors)
-	x.state.Defer(len(others) == collectors)
-	news := x.state.News(now)
-	common, first := x.divide(news)
-	return news, append(x.flood(now, common), x.collect(now, others, first)...)
+	collectors := x.fleet.Ranked(now, collectorsKey, collectorCount)
+	x.state.Defer(len(collectors) == collectorCount)
+	updates := x.state.News(now)
+	shared, first := x.split(updates)
+	return updates, append(x.gossip(now, shared), x.report(now, collectors, first)...)
 }
 
-// Heard takes in what another router knows, and returns what of it is news here and who is
-// to be told.
+// Receive merges another router's records, and returns the records that changed by it and the
+// records to send to other routers.
 func (x *Exchange) Heard(now time.Time, list []Record) ([]Record, []Parcel) {
 	before := x.state.Digest()
-	x.state.Merge(now, x.bounded(now, list))
+	x.state.Merge(now, x.limitFirst(now, list))
 	if x.state.Digest() != before {
-		x.pause = askPause
+		x.pullInterval = minPullInterval
 	}
-	news := x.state.News(now)
-	common, _ := x.divide(news)
-	return news, x.flood(now, common)
+	updates := x.state.News(now)
+	shared, _ := x.split(updates)
+	return updates, x.gossip(now, shared)
 }
 
-// bounded returns what is to be taken in of a list: what others tell of first ends is bounded.
-func (x *Exchange) bounded(now time.Time, list []Record) []Record {
+// limitFirst drops records of first crashes that exceed the receive limit.
+func (x *Exchange) limitFirst(now time.Time, list []Record) []Record {
 	var known, first []Record
 	for _, r := range list {
-		if len(r.Crashes) < pausedFrom {
+		if len(r.Crashes) < minCrashesToReject {
 			first = append(first, r)
 		} else {
 			known = append(known, r)
 		}
 	}
-	return append(known, x.taken.take(now, first, 1)...)
+	return append(known, x.receiveLimit.admit(now, first, 1)...)
 }
 
-// divide tells apart what all routers are to know and what its collectors are.
-func (x *Exchange) divide(news []Record) (common, first []Record) {
-	for _, r := range news {
+// split separates the records for all routers from those for the collectors only.
+func (x *Exchange) split(updates []Record) (shared, first []Record) {
+	for _, r := range updates {
 		if x.state.Common(r.Key) {
-			common = append(common, r)
+			shared = append(shared, r)
 		} else {
 			first = append(first, r)
 		}
 	}
-	return common, first
+	return shared, first
 }
 
-// flood tells a few others, who do the same.
-func (x *Exchange) flood(now time.Time, list []Record) []Parcel {
+// gossip returns records to send to a few random routers, which do the same.
+func (x *Exchange) gossip(now time.Time, list []Record) []Parcel {
 	if len(list) == 0 {
 		return nil
 	}
-	few := x.fleet.Few(now)
-	list = x.common.take(now, list, len(few))
+	peers := x.fleet.Few(now)
+	list = x.sharedLimit.admit(now, list, len(peers))
 	if len(list) == 0 {
 		return nil
 	}
-	out := make([]Parcel, 0, len(few))
-	for _, to := range few {
+	out := make([]Parcel, 0, len(peers))
+	for _, to := range peers {
 		out = append(out, Parcel{To: to, Records: list})
 	}
 	return out
 }
 
-// collect tells the collectors, who may be others, of what was found since they were last
-// told. They are told of each end apart: two ends in one record are for all to know.
-func (x *Exchange) collect(now time.Time, others []string, news []Record) []Parcel {
+// report returns what to send to the collectors: the changes since the last report. Each
+// crash gets a record of its own, since a record with two crashes is for all routers.
+func (x *Exchange) report(now time.Time, collectors []string, updates []Record) []Parcel {
 	var list []Record
-	for _, r := range news {
+	for _, r := range updates {
 		for _, c := range r.Crashes {
 			r.Crashes = []Crash{c}
 			list = append(list, r)
 		}
 	}
-	x.waiting = append(x.waiting, x.first.take(now, list, len(others))...)
-	if len(x.waiting) == 0 || now.Sub(x.collected) < collectPause {
+	x.unreported = append(x.unreported, x.firstLimit.admit(now, list, len(collectors))...)
+	if len(x.unreported) == 0 || now.Sub(x.reportedAt) < collectInterval {
 		return nil
 	}
-	out := make([]Parcel, 0, len(others))
-	for _, to := range others {
-		out = append(out, Parcel{To: to, Records: x.waiting})
+	out := make([]Parcel, 0, len(collectors))
+	for _, to := range collectors {
+		out = append(out, Parcel{To: to, Records: x.unreported})
 	}
-	x.waiting, x.collected = nil, now
+	x.unreported, x.reportedAt = nil, now
 	return out
 }
 
-// Differs reports whether to ask a router for all that it knows, given its digest. News
-// reach nearly all at once; this is for who was away, or missed them.
+// ShouldPull reports whether to pull all records from a router with this digest. Gossip reaches
+// nearly all routers at once; a pull is for those that were unreachable or missed it.
 func (x *Exchange) Differs(now time.Time, digest uint64) bool {
-	if digest == x.state.Digest() || digest == 0 || now.Sub(x.asked) < x.pause {
+	if digest == x.state.Digest() || digest == 0 || now.Sub(x.pulledAt) < x.pullInterval {
 		return false
 	}
-	x.asked = now
-	x.pause = min(max(2*x.pause, askPause), askPauseMost)
+	x.pulledAt = now
+	x.pullInterval = min(max(2*x.pullInterval, minPullInterval), maxPullInterval)
 	return true
 }
 
-// All returns what a router is told that asks for all.
+// All returns the records to send to a router that pulls all.
 func (x *Exchange) All(now time.Time) []Record {
-	return x.common.take(now, x.state.AllCommon(now), 1)
+	return x.sharedLimit.admit(now, x.state.AllCommon(now), 1)
 }
 
-// allowance bounds what is told: rate bytes a second beyond a burst. A new one has a whole
-// burst left.
-type allowance struct {
+// byteLimit is a leaky bucket: the used bytes drain at rate bytes a second, and records are
+// admitted until they exceed burst.
+type byteLimit struct {
 	rate, burst, used float64
-	at                time.Time
+	updatedAt         time.Time
 }
 
-// take returns as much of a list as may be told to so many routers.
-func (a *allowance) take(now time.Time, list []Record, to int) []Record {
-	a.used = max(a.used-now.Sub(a.at).Seconds()*a.rate, 0)
-	a.at = now
+// admit returns the start of a list that the limit allows to send to a number of routers.
+func (l *byteLimit) admit(now time.Time, list []Record, to int) []Record {
+	l.used = max(l.used-now.Sub(l.updatedAt).Seconds()*l.rate, 0)
+	l.updatedAt = now
 	for i, r := range list {
-		if a.used > a.burst {
+		if l.used > l.burst {
 			return list[:i]
 		}
-		a.used += float64(to * r.size())
+		l.used += float64(to * r.size())
 	}
 	return list
 }
 
-// size returns about how many bytes it takes to tell of a record.
+// size returns about how many bytes a record takes in a message.
 func (r Record) size() int {
-	n := recordBytes + len(r.Organisation)
+	n := recordOverheadBytes + len(r.Organisation)
 	for _, c := range r.Crashes {
 		n += len(c.Target)
 	}
--- a/internal/quarantine/key.go
+++ b/internal/quarantine/key.go
@@ -1,6 +1,6 @@
-// Package quarantine knows the requests that end the engines that run them. Callers send
-// such a request again and again, at any router and under another id each time, and each
-// time it ends one engine more, with all else that runs there.
+// Package quarantine detects requests that crash the engines that run them. Callers retry such
+// a request again and again, at any router and with a new id each time, and each attempt
+// crashes one more engine along with all other requests that run there.
 package quarantine
 
 import (
@@ -11,13 +11,13 @@
 	"github.com/pkg/errors"
 )
 
-// KeySize is the length of a Key in bytes: with 128 bits of a digest two requests of a
-// year have the same by chance with a probability below 1e-15.
+// KeySize is the length of a Key in bytes. With 128 bits of a digest, the probability that any
+// two requests within a year have the same key is below 1e-15.
 const KeySize = 16
 
-// Key tells what is asked, and by whom: two requests have the same one if their
-// organisation, method, path with query and body are alike, whatever their ids and other
-// headers. All routers give a request the same key.
+// Key identifies a request by its content: two requests have the same key if their
+// organisation, method, path with query, and body are equal, whatever their ids and other
+// headers. All routers compute the same key for a request.
 type Key [KeySize]byte
 
 // KeyOf returns the key of a request.
@@ -25,7 +25,7 @@
 	h := sha256.New()
 	var size [binary.MaxVarintLen64]byte
 	for _, part := range []string{organisation, method, target} {
-		// With its length before it no part can pass for the end of another.
+		// The length prefix keeps the end of one part from being taken for the start of the next.
 		h.Write(size[:binary.PutUvarint(size[:], uint64(len(part)))])
 		h.Write([]byte(part))
 	}
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -8,215 +8,218 @@
 )
 
 const (
-	// pausedFrom is the number of engines that ended under a request from which its
-	// callers are sent away for a while, and routers do not send it again by themselves.
-	// One engine may end by chance; that the same request was beside two is seldom
-	// chance, and a third try costs all else that runs at an engine.
-	pausedFrom = 2
-	// heldFrom is the number from which it is held back and sent on trial only, by one
-	// router at a time. After the third end the users allow three sends more.
-	heldFrom = 3
-	// suspectTime is for how long a crash is remembered, and heldTime for how long a
-	// request that is held back is, from when it last came. Callers that repeat do so
-	// within seconds; an hour is more than most of them go on for.
-	suspectTime = 10 * time.Minute
-	heldTime    = time.Hour
-	// seenGrain is how exactly it is known when a request that is held back last came.
-	seenGrain = time.Minute
-	// brokenTime is for how long requests whose answers broke off are kept in case it
-	// turns out that their engine has ended: an engine is back, or its entry gone, within
-	// some seconds. brokenMost bounds them.
-	brokenTime = 5 * time.Second
-	brokenMost = 512
-	// entriesMost bounds the requests suspected, a tenth of a megabyte, and partMost
-	// those of one organisation: one that changes its request each time pushes out its
-	// own only.
-	entriesMost = 1024
-	partMost    = 256
-	// CrashesMost bounds the crashes known of one request. Its own end after six; the rest
-	// is for operators who hold and release it.
+	// minCrashesToReject is the number of crashes from which a request is rejected for a while
+	// and no longer retried by routers on their own. One engine may crash by chance while the
+	// request runs there. The same request at two crashes is seldom chance, and a third
+	// attempt costs all other requests that run at an engine.
+	minCrashesToReject = 2
+	// minCrashesToHold is the number of crashes from which a request is held back: it is sent
+	// on trial only, by one router at a time. Three more sends are allowed after the third
+	// crash.
+	minCrashesToHold = 3
+	// suspectTTL is how long a crash is remembered, and heldTTL how long a held-back request
+	// is, both from when the request last arrived. Callers that retry do so within seconds,
+	// and most of them stop within an hour.
+	suspectTTL = 10 * time.Minute
+	heldTTL    = time.Hour
+	// seenResolution is the resolution of the time at which a held-back request last arrived.
+	seenResolution = time.Minute
+	// brokenTTL is how long requests whose answers broke off are kept, in case their engine
+	// turns out to have exited: within some seconds an engine is back or its entry is gone.
+	// maxBroken bounds their number.
+	brokenTTL = 5 * time.Second
+	maxBroken = 512
+	// maxEntries bounds the number of suspected requests, which take a tenth of a megabyte.
+	// maxEntriesPerOrganisation bounds those of one organisation, so that a caller that
+	// changes its request each time displaces only its own organisation's.
+	maxEntries                = 1024
+	maxEntriesPerOrganisation = 256
+	// MaxCrashes bounds the crashes recorded for one request. A request is no longer sent
+	// after six; the others are for operators who hold and release it.
 	CrashesMost = 32
 )
 
-// trialPauses are the times from the last crash until a request is tried again, by the
-// number of trials that have ended engines. Trials find out who only ran beside another
-// request, as what many callers ask in the same words runs at many engines at once. The
-// first comes when engines that ended are back, some seconds after; the others when callers
-// that repeat for minutes have given up. After three there is none.
-var trialPauses = [...]time.Duration{3 * time.Second, 30 * time.Second, 5 * time.Minute}
+// trialDelays are the delays from the last crash to the next trial, by the number of trials
+// under which engines have crashed. Trials clear requests that only ran beside the cause, such
+// as one that many callers send in the same words and that therefore runs at many engines at
+// once. The first trial comes when the crashed engines are back, after some seconds; the others
+// when callers that retry for minutes have stopped. After three there is none.
+var trialDelays = [...]time.Duration{3 * time.Second, 30 * time.Second, 5 * time.Minute}
 
-// broken is a request whose answer broke off.
-type broken struct {
+// brokenRequest is a request whose answer broke off.
+type brokenRequest struct {
 	key          Key
 	organisation string
 	crash        Crash
 	at           time.Time
 }
 
-// State is what one router knows of such requests. A request is suspected from its first
-// crash on, sent away for a while from the second and held back from the third; it is
-// cleared when it ends well at any engine, and forgotten with time. A State is a plain
-// state machine: time comes in through arguments and one goroutine drives it. Use New to
-// make one.
+// State holds one router's records of such requests. A request is suspected from its first
+// crash on, rejected for a while from the second on, and held back, so that it is sent on
+// trial only, from the third on. It is cleared when it completes at any engine, and expires
+// with time. A State is a plain state machine: it gets the time as an argument, and one
+// goroutine drives it. Use New to create one.
 type State struct {
-	entries map[Key]*entry
-	parts   map[string]int
-	broken  []broken
-	ended   ends
-	digest  uint64
-	// now is the latest time that came in.
+	entries   map[Key]*entry
+	entriesOf map[string]int
+	broken    []brokenRequest
+	exits     exits
+	digest    uint64
+	// now is the latest time that was passed in.
 	now time.Time
-	// settling has the requests under which two targets ended together, of which all
-	// routers may have to know.
-	settling map[Key]bool
-	// defers is set where other routers decide whether two targets that ended together
-	// accuse a request.
-	defers bool
-	// news are the requests of which something new is known since News was called.
-	news map[Key]bool
-	view *View
+	// undecided holds the requests with as many crashes as it takes to reject one, of which
+	// all routers may have to know: if the targets exited at the same time, it may have been
+	// an outage.
+	undecided map[Key]bool
+	// deferring is set while other routers decide whether two targets that exited at the same
+	// time implicate a request.
+	deferring bool
+	// updated holds the requests whose records changed since the last call of Updates.
+	updated map[Key]bool
+	view    *View
 }
 
 // New returns a state that suspects nothing.
 func New() *State {
-	return &State{entries: map[Key]*entry{}, parts: map[string]int{}, ended: ends{}, settling: map[Key]bool{}, news: map[Key]bool{}}
+	return &State{entries: map[Key]*entry{}, entriesOf: map[string]int{}, exits: exits{}, undecided: map[Key]bool{}, updated: map[Key]bool{}}
 }
 
-// Broke notes that a target broke off its answer to a request, and returns the number of
-// targets that are known to have ended under it. That the process ended may be known
-// before or turn out later; until then a broken answer is none of them.
-// trial says that others were known to have ended under it when it was sent.
+// AnswerBroke records that a target broke off its answer to a request, and returns the number
+// of crashes known under the request. The broken answer counts as a crash only once the
+// target is known to have exited, which may be before this call or later. trial is set if other
+// targets were known to have crashed under the request when it was sent.
 func (s *State) Broke(now time.Time, k Key, organisation, target string, trial bool) int {
-	s.forgetBroken(now)
-	b := broken{key: k, organisation: organisation, crash: Crash{Target: target, Trial: trial}, at: now}
-	if s.ended.fresh(now, target) {
-		s.crash(now, b)
-	} else if len(s.broken) < brokenMost {
+	s.expireBroken(now)
+	b := brokenRequest{key: k, organisation: organisation, crash: Crash{Target: target, Trial: trial}, at: now}
+	if s.exits.recent(now, target) {
+		s.addCrash(now, b)
+	} else if len(s.broken) < maxBroken {
 		s.broken = append(s.broken, b)
 	}
-	return s.standing(k)
+	return s.crashesOf(k)
 }
 
-// Ended notes that a target's process has ended unannounced: it crashed under one of the
-// requests whose answers broke off there.
+// TargetExited records that a target's process has exited without notice: it crashed under one
+// of the requests whose answers broke off there.
 func (s *State) Ended(now time.Time, target string) {
-	s.forgetBroken(now)
-	s.ended.note(now, target)
+	s.expireBroken(now)
+	s.exits.add(now, target)
 	s.view = nil
-	s.broken = slices.DeleteFunc(s.broken, func(b broken) bool {
+	s.broken = slices.DeleteFunc(s.broken, func(b brokenRequest) bool {
 		if b.crash.Target == target {
-			s.crash(now, b)
+			s.addCrash(now, b)
 		}
 		return b.crash.Target == target
 	})
 }
 
-// forgetBroken forgets what is too old. Before that the ends that accuse nobody are told
-// apart: their requests are cleared of them.
-func (s *State) forgetBroken(now time.Time) {
+// expireBroken removes broken requests and exits that are too old. Before that, it clears
+// requests of the exits that turned out not to implicate them.
+func (s *State) expireBroken(now time.Time) {
 	s.now = latest(s.now, now)
-	s.broken = slices.DeleteFunc(s.broken, func(b broken) bool { return now.Sub(b.at) > brokenTime })
-	if judged := s.ended.judge(now); len(judged) > 0 {
-		s.acquit(judged)
+	s.broken = slices.DeleteFunc(s.broken, func(b brokenRequest) bool { return now.Sub(b.at) > brokenTTL })
+	if due := s.exits.takeDue(now); len(due) > 0 {
+		s.clearUnrelated(due)
 	}
-	s.ended.forget(now)
+	s.exits.expire(now)
 }
 
-// acquit clears requests of ends that they do not account for.
-func (s *State) acquit(judged []string) {
+// clearUnrelated clears requests of those of the given exits that do not implicate them.
+func (s *State) clearUnrelated(due []string) {
 	for k, e := range s.entries {
-		for _, target := range judged {
-			if c, ran := e.crashes[target]; ran && !c.Cleared && !s.ended.accountsFor(e, target) {
+		for _, target := range due {
+			if c, ran := e.crashes[target]; ran && !c.Cleared && !s.exits.implicates(e, target) {
 				c.Cleared = true
-				s.put(k, e, c)
+				s.storeCrash(k, e, c)
 			}
 		}
 	}
 }
 
-// Known reports whether anything is known of a request.
+// Known reports whether there is a record of a request.
 func (s *State) Known(k Key) bool { return s.entries[k] != nil }
 
-func (s *State) standing(k Key) int {
+// crashesOf returns the number of crashes that count against a request.
+func (s *State) crashesOf(k Key) int {
 	if e := s.entries[k]; e != nil {
-		return s.counted(e)
+		return s.countedCrashes(e)
 	}
 	return 0
 }
 
-// crash notes that a target ended under a request that broke off there.
-func (s *State) crash(now time.Time, b broken) {
-	e := s.entry(now, b.key, b.organisation)
+// addCrash records that a target crashed under a request whose answer broke off there.
+func (s *State) addCrash(now time.Time, b brokenRequest) {
+	e := s.ensureEntry(now, b.key, b.organisation)
 	if _, known := e.crashes[b.crash.Target]; known || len(e.crashes) >= CrashesMost {
 		return
 	}
-	s.set(b.key, e, b.crash)
-	e.crashed, e.seen = now, now
+	s.updateCrash(b.key, e, b.crash)
+	e.lastCrash, e.lastSeen = now, now
 }
 
-// entry returns the entry of a request, a new one if there is none.
-func (s *State) entry(now time.Time, k Key, organisation string) *entry {
+// ensureEntry returns the ensureEntry of a request, creating it if there is none.
+func (s *State) ensureEntry(now time.Time, k Key, organisation string) *entry {
 	e := s.entries[k]
 	if e != nil {
 		return e
 	}
-	if s.parts[organisation] >= partMost {
-		s.drop(s.least(func(e *entry) bool { return e.organisation == organisation }))
-	} else if len(s.entries) >= entriesMost {
-		s.drop(s.least(func(*entry) bool { return true }))
+	if s.entriesOf[organisation] >= maxEntriesPerOrganisation {
+		s.remove(s.leastSuspected(func(e *entry) bool { return e.organisation == organisation }))
+	} else if len(s.entries) >= maxEntries {
+		s.remove(s.leastSuspected(func(*entry) bool { return true }))
 	}
-	e = &entry{organisation: organisation, crashes: map[string]Crash{}, crashed: now, seen: now}
+	e = &entry{organisation: organisation, crashes: map[string]Crash{}, lastCrash: now, lastSeen: now}
 	s.entries[k] = e
-	s.parts[organisation]++
+	s.entriesOf[organisation]++
 	return e
 }
 
-// least returns the request of those meant that is suspected least, and of these came
-// first.
-func (s *State) least(meant func(e *entry) bool) Key {
+// leastSuspected returns the matching request with the fewest uncleared crashes, and among
+// those the one that was last seen the longest time ago.
+func (s *State) leastSuspected(match func(e *entry) bool) Key {
 	var least Key
 	var found *entry
 	for k, e := range s.entries {
-		if !meant(e) {
+		if !match(e) {
 			continue
 		}
-		if found == nil || e.standing() < found.standing() || e.standing() == found.standing() && e.seen.Before(found.seen) {
+		if found == nil || e.uncleared() < found.uncleared() || e.uncleared() == found.uncleared() && e.lastSeen.Before(found.lastSeen) {
 			least, found = k, e
 		}
 	}
 	return least
 }
 
-func (s *State) drop(k Key) {
+func (s *State) remove(k Key) {
 	e := s.entries[k]
-	s.digest ^= e.weight(k)
-	if s.parts[e.organisation]--; s.parts[e.organisation] == 0 {
-		delete(s.parts, e.organisation)
+	s.digest ^= e.digest(k)
+	if s.entriesOf[e.organisation]--; s.entriesOf[e.organisation] == 0 {
+		delete(s.entriesOf, e.organisation)
 	}
 	delete(s.entries, k)
-	delete(s.news, k)
+	delete(s.updated, k)
 	s.view = nil
 }
 
-// set notes a crash, or that it is cleared, as news.
-func (s *State) set(k Key, e *entry, c Crash) {
-	s.put(k, e, c)
-	s.news[k] = true
-	if len(e.crashes) == pausedFrom && !e.common {
-		s.settling[k] = true
+// updateCrash stores a crash and marks the request as updated.
+func (s *State) updateCrash(k Key, e *entry, c Crash) {
+	s.storeCrash(k, e, c)
+	s.updated[k] = true
+	if len(e.crashes) == minCrashesToReject && !e.shared {
+		s.undecided[k] = true
 	}
 }
 
-// put notes the same without anybody being told.
-func (s *State) put(k Key, e *entry, c Crash) {
-	s.digest ^= e.weight(k)
+// storeCrash stores a crash without marking the request as updated.
+func (s *State) storeCrash(k Key, e *entry, c Crash) {
+	s.digest ^= e.digest(k)
 	e.crashes[c.Target] = c
-	s.digest ^= e.weight(k)
+	s.digest ^= e.digest(k)
 	s.view = nil
 }
 
-// Clear notes that a request has ended well: the targets that ended before did so for
-// another reason.
+// Clear records that a request has completed, so that the crashes recorded before had another
+// cause.
 func (s *State) Clear(k Key) {
 	e := s.entries[k]
 	if e == nil {
@@ -225,62 +228,60 @@
 	for _, c := range e.crashes {
 		if !c.Cleared {
 			c.Cleared = true
-			s.set(k, e, c)
+			s.updateCrash(k, e, c)
 		}
 	}
 }
 
-// Try reports whether a request that is held back may be sent on trial, and notes that it
-// is: its time has come, and none is under way. One router of a fleet asks for each
-// request, so that one trial is under way at a time.
+// StartTrial reports whether a held-back request may be sent on trial, and records that it is:
+// the delay is over, and no other trial is under way. For each request, only one router of the
+// fleet calls it, so that one trial is under way at a time.
 func (s *State) Try(now time.Time, k Key, until time.Time) bool {
 	e := s.entries[k]
-	if e == nil || now.Before(s.until(e)) || now.Before(e.trying) {
+	if e == nil || now.Before(s.rejectedUntil(e)) || now.Before(e.trialUntil) {
 		return false
 	}
-	e.trying = until
+	e.trialUntil = until
 	return true
 }
 
-// Tried notes that a trial is over, however it ended.
+// EndTrial records that a trial is over, whatever its outcome.
 func (s *State) Tried(k Key) {
 	if e := s.entries[k]; e != nil {
-		e.trying = time.Time{}
+		e.trialUntil = time.Time{}
 	}
 }
 
-// Hold holds a request back as if targets had ended under it, without a trial, until it is
-// cleared or has not come for a while. By whom names who wants that. It returns false if
-// that was done too often.
-func (s *State) Hold(now time.Time, k Key, organisation, byWhom string) bool {
-	e := s.entry(now, k, organisation)
-	if len(e.crashes)+heldFrom > CrashesMost {
+// Hold holds a request back as if targets had crashed under it, without a trial, until it is
+// cleared or has not arrived for a while. operator names who requested that. It returns false
+// if the request has been held too often.
+func (s *State) Hold(now time.Time, k Key, organisation, operator string) bool {
+	e := s.ensureEntry(now, k, organisation)
+	if len(e.crashes)+minCrashesToHold > CrashesMost {
 		return false
 	}
-	for range heldFrom {
-		// The number tells holds of the same millisecond apart: what was released once
-		// stays so.
-		s.set(k, e, Crash{Target: fmt.Sprintf("%s, %d, %d", byWhom, now.UnixMilli(), len(e.crashes)), Trial: true})
+	for range minCrashesToHold {
+		// The number distinguishes holds of the same millisecond, since a crash that was
+		// cleared once stays cleared.
+		s.updateCrash(k, e, Crash{Target: fmt.Sprintf("%s, %d, %d", operator, now.UnixMilli(), len(e.crashes)), Trial: true})
 	}
-	e.crashed, e.seen = now, now
+	e.lastCrash, e.lastSeen = now, now
 	return true
 }
 
-// Seen notes that a request that is held back has come again: it is not forgotten as long
-// as it does.
+// RecordSeen records that a held-back request has arrived again, which keeps it from expiring.
 func (s *State) Seen(now time.Time, k Key) {
-	if e := s.entries[k]; e != nil && now.Sub(e.seen) >= seenGrain {
-		e.seen = now
+	if e := s.entries[k]; e != nil && now.Sub(e.lastSeen) >= seenResolution {
+		e.lastSeen = now
 		s.view = nil
 	}
 }
 
-// Merge takes over what another router knows. A target that ended there has ended here,
-// too.
+// Merge merges another router's records. It also records the exits of the targets named there.
 func (s *State) Merge(now time.Time, list []Record) {
 	s.now = latest(s.now, now)
 	for _, r := range list {
-		if r.SinceSeen < 0 || r.SinceCrash < 0 || r.SinceSeen >= suspectTime && r.Standing() < heldFrom || r.SinceSeen >= heldTime {
+		if r.SinceSeen < 0 || r.SinceCrash < 0 || r.SinceSeen >= suspectTTL && r.Standing() < minCrashesToHold || r.SinceSeen >= heldTTL {
 			continue
 		}
 		s.merge(now, r)
@@ -292,25 +293,25 @@
 		if c.Target == "" {
 			continue
 		}
-		e := s.entry(now, r.Key, r.Organisation)
+		e := s.ensureEntry(now, r.Key, r.Organisation)
 		if len(e.crashes) == 0 {
-			e.crashed, e.seen = now.Add(-r.SinceCrash), now.Add(-r.SinceSeen)
+			e.lastCrash, e.lastSeen = now.Add(-r.SinceCrash), now.Add(-r.SinceSeen)
 		}
 		old, known := e.crashes[c.Target]
 		if old.Cleared || known && !c.Cleared || !known && len(e.crashes) >= CrashesMost {
 			continue
 		}
-		s.set(r.Key, e, c)
-		if !c.Cleared && r.SinceCrash < brokenTime {
+		s.updateCrash(r.Key, e, c)
+		if !c.Cleared && r.SinceCrash < brokenTTL {
 			s.Ended(now.Add(-r.SinceCrash), c.Target)
 		}
 	}
 	if e := s.entries[r.Key]; e != nil {
-		if !e.common && len(r.Crashes) >= pausedFrom {
+		if !e.shared && len(r.Crashes) >= minCrashesToReject {
 			s.share(r.Key, e)
 		}
-		e.crashed = latest(e.crashed, now.Add(-r.SinceCrash))
-		e.seen = latest(e.seen, now.Add(-r.SinceSeen))
+		e.lastCrash = latest(e.lastCrash, now.Add(-r.SinceCrash))
+		e.lastSeen = latest(e.lastSeen, now.Add(-r.SinceSeen))
 	}
 }
 
@@ -321,43 +322,43 @@
 	return a
 }
 
-// Expire forgets what is too old and returns it.
+// Expire removes the records that are too old and returns them.
 func (s *State) Expire(now time.Time) []Record {
 	var list []Record
 	for k, e := range s.entries {
 		if !now.Before(e.expires()) {
 			list = append(list, e.record(now, k))
-			s.drop(k)
+			s.remove(k)
 		}
 	}
 	return sorted(list)
 }
 
-// News returns the requests of which something new is known since the last call.
+// Updates returns the records that changed since the last call.
 func (s *State) News(now time.Time) []Record {
-	s.settle(now)
-	list := make([]Record, 0, len(s.news))
-	for k := range s.news {
+	s.resolveUndecided(now)
+	list := make([]Record, 0, len(s.updated))
+	for k := range s.updated {
 		list = append(list, s.entries[k].record(now, k))
 	}
-	clear(s.news)
+	clear(s.updated)
 	return sorted(list)
 }
 
-// All returns all that is known.
+// All returns all records.
 func (s *State) All(now time.Time) []Record {
 	return s.records(now, func(*entry) bool { return true })
 }
 
-// AllCommon returns what all routers are to know.
+// AllShared returns the records that all routers need to know of.
 func (s *State) AllCommon(now time.Time) []Record {
-	return s.records(now, func(e *entry) bool { return e.common })
+	return s.records(now, func(e *entry) bool { return e.shared })
 }
 
-func (s *State) records(now time.Time, meant func(*entry) bool) []Record {
+func (s *State) records(now time.Time, match func(*entry) bool) []Record {
 	list := make([]Record, 0, len(s.entries))
 	for k, e := range s.entries {
-		if meant(e) {
+		if match(e) {
 			list = append(list, e.record(now, k))
 		}
 	}
@@ -369,6 +370,6 @@
 	return list
 }
 
-// Digest returns a hash over all crashes that all routers are to know, in any order: who has
-// another one knows something else.
+// Digest returns a hash of all crashes that all routers need to know of, which does not depend
+// on their order. Routers with different digests have different records.
 func (s *State) Digest() uint64 { return s.digest }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// Crash is the end of a target's process while it ran a request.
+// Crash is the unexpected exit of a target's process while it ran a request.
 type Crash struct {
-	// Target names the incarnation of the target that ended.
+	// Target names the incarnation of the target that exited.
 	Target string
-	// Cleared is set once the request has ended well after it, Trial where it was sent
-	// although others had ended under it.
+	// Cleared is set once the request is no longer taken for the cause, for example because
+	// it has completed since. Trial is set if the request was on trial: it was sent although
+	// other targets had crashed under it.
 	Cleared, Trial bool
 }
 
-// Record is what routers tell one another of a suspected request. Of two records of a
-// request each has part of the truth: what is known is the union of their crashes, and a
-// crash that either has cleared is. Told twice, late or in another order they do no harm.
+// Record is what routers exchange about a suspected request. Two records of a request merge
+// into the union of their crashes, where a crash is cleared if either record has it cleared.
+// Records may therefore arrive twice, late, or in any order.
 type Record struct {
 	Key          Key
 	Organisation string
 	Crashes      []Crash
-	// SinceCrash is the time since the last crash that was not cleared, SinceSeen that
-	// since the request last came or had one.
+	// SinceCrash is the time since the last crash that was not cleared, SinceSeen the time
+	// since the request last arrived or had a crash.
 	SinceCrash, SinceSeen time.Duration
 }
 
-// Standing returns the number of crashes that are not cleared.
+// Uncleared returns the number of crashes that are not cleared.
 func (r Record) Standing() int {
 	n := 0
 	for _, c := range r.Crashes {
@@ -41,29 +42,29 @@
 // entry is what is known of a suspected request.
 type entry struct {
 	organisation string
-	// crashes are those known, by target.
-	crashes       map[string]Crash
-	crashed, seen time.Time
-	// trying is until when a trial is under way at this router at most.
-	trying time.Time
-	// common is set once all routers are to know of the request.
-	common bool
+	// crashes holds the known crashes, by target.
+	crashes             map[string]Crash
+	lastCrash, lastSeen time.Time
+	// trialUntil is the latest time until which a trial that this router started may run.
+	trialUntil time.Time
+	// shared is set once all routers need to know of the request.
+	shared bool
 }
 
-// weight is what the entry adds to the digest: what only some routers are to know adds
-// nothing.
-func (e *entry) weight(k Key) uint64 {
-	if !e.common {
+// digest returns what the entry adds to the State's digest: 0 unless all routers need to know
+// of it.
+func (e *entry) digest(k Key) uint64 {
+	if !e.shared {
 		return 0
 	}
 	var sum uint64
 	for _, c := range e.crashes {
-		sum ^= weight(k, c)
+		sum ^= crashDigest(k, c)
 	}
 	return sum
 }
 
-func (e *entry) standing() int {
+func (e *entry) uncleared() int {
 	n := 0
 	for _, c := range e.crashes {
 		if !c.Cleared {
@@ -73,8 +74,8 @@
 	return n
 }
 
-// trials returns the number of trials that ended engines.
-func (e *entry) trials() int {
+// failedTrials returns the number of failedTrials under which engines crashed.
+func (e *entry) failedTrials() int {
 	n := 0
 	for _, c := range e.crashes {
 		if c.Trial && !c.Cleared {
@@ -84,18 +85,18 @@
 	return n
 }
 
-// expires returns when the entry is forgotten.
+// expires returns when the entry expires.
 func (e *entry) expires() time.Time {
-	if e.standing() >= heldFrom {
-		return e.seen.Add(heldTime)
+	if e.uncleared() >= minCrashesToHold {
+		return e.lastSeen.Add(heldTTL)
 	}
-	return e.seen.Add(suspectTime)
+	return e.lastSeen.Add(suspectTTL)
 }
 
 func (e *entry) record(now time.Time, k Key) Record {
 	r := Record{
 		Key: k, Organisation: e.organisation,
-		SinceCrash: max(now.Sub(e.crashed), 0), SinceSeen: max(now.Sub(e.seen), 0),
+		SinceCrash: max(now.Sub(e.lastCrash), 0), SinceSeen: max(now.Sub(e.lastSeen), 0),
 	}
 	for _, target := range slices.Sorted(maps.Keys(e.crashes)) {
 		r.Crashes = append(r.Crashes, e.crashes[target])
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -6,16 +6,16 @@
 	"github.com/stepcroft/stepcroft/internal/rendezvous"
 )
 
-// View is what a State held at some time, for goroutines that serve requests. It does not
-// change. A nil View suspects nothing.
+// View is an immutable snapshot of a State, for the goroutines that serve requests. A nil View
+// suspects nothing.
 type View struct {
 	marks map[Key]mark
 }
 
-// mark is what is to be done with a suspected request.
+// mark tells how to treat a suspected request.
 type mark struct {
-	until, seen time.Time
-	// crashes is the number of targets that ended under the request.
+	rejectedUntil, lastSeen time.Time
+	// crashes is the number of targets that crashed under the request.
 	crashes int
 }
 
@@ -24,8 +24,8 @@
 	if s.view == nil {
 		s.view = &View{marks: make(map[Key]mark, len(s.entries))}
 		for k, e := range s.entries {
-			if n := s.counted(e); n > 0 {
-				s.view.marks[k] = mark{until: s.until(e), seen: e.seen, crashes: n}
+			if n := s.countedCrashes(e); n > 0 {
+				s.view.marks[k] = mark{rejectedUntil: s.rejectedUntil(e), lastSeen: e.lastSeen, crashes: n}
 			}
 		}
 	}
@@ -35,15 +35,15 @@
 	return s.view
 }
 
-// Held returns for how much longer a request must not be sent; 0 if it may.
+// RejectedFor returns how much longer a request must not be sent, 0 if it may be.
 func (v *View) Held(now time.Time, k Key) time.Duration {
 	if v == nil {
 		return 0
 	}
-	return max(v.marks[k].until.Sub(now), 0)
+	return max(v.marks[k].rejectedUntil.Sub(now), 0)
 }
 
-// Crashes returns the number of targets that ended under a request.
+// Crashes returns the number of targets that crashed under a request.
 func (v *View) Crashes(k Key) int {
 	if v == nil {
 		return 0
@@ -51,19 +51,22 @@
 	return v.marks[k].crashes
 }
 
-// Stale reports whether the State should hear that a request which is held has come.
-func (v *View) Stale(now time.Time, k Key) bool { return now.Sub(v.marks[k].seen) >= seenGrain }
+// LastSeenStale reports whether State.RecordSeen should be called for a held-back request that
+// has arrived again.
+func (v *View) Stale(now time.Time, k Key) bool {
+	return now.Sub(v.marks[k].lastSeen) >= seenResolution
+}
 
-// Holds reports whether a request is held back after so many crashes: it may be sent on
-// trial only, see State.Try.
-func Holds(crashes int) bool { return crashes >= heldFrom }
+// HeldBack reports whether a request is held back after this number of crashes: it may be sent
+// on trial only, see State.StartTrial.
+func Holds(crashes int) bool { return crashes >= minCrashesToHold }
 
-// MayRepeat reports whether a router may send a request to another target by itself after
-// so many have ended under it.
-func MayRepeat(crashes int) bool { return crashes < pausedFrom }
+// MayRetry reports whether a router may retry a request at another target on its own after this
+// number of crashes.
+func MayRepeat(crashes int) bool { return crashes < minCrashesToReject }
 
-// weight is what a crash adds to the digest.
-func weight(k Key, c Crash) uint64 {
+// crashDigest returns what a crash adds to the State's digest.
+func crashDigest(k Key, c Crash) uint64 {
 	name := string(k[:]) + c.Target
 	if c.Cleared {
 		name += " cleared"
