--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -73,7 +73,7 @@
 	Cost float64
 	// Waiting is the number of the organisation's requests still queued at the sender.
 	Waiting int
-	// Partial and Failed are copied from request.End.
+	// Partial and Failed are copied from request.RunEnd.
 	Partial bool
 	Failed  bool
 }
