--- a/internal/adapter/peer/quarantine_test.go
+++ b/internal/adapter/peer/quarantine_test.go
@@ -70,7 +70,7 @@
 		known := suspects().Records
 		s.Merge(now, known)
 		s.Merge(now, decodeQuarantine(m).Records)
-		s.News(now)
+		s.Updates(now)
 		if s.View() == nil && !s.Known(known[0].Key) {
 			t.Error("a message took away what was known")
 		}
--- a/internal/forward/suspects.go
+++ b/internal/forward/suspects.go
@@ -58,11 +58,11 @@
 		return false
 	}
 	now, k := clock.Now(), x.key()
-	left := v.Held(now, k)
+	left := v.RejectedFor(now, k)
 	if left == 0 && x.maySendSuspect(ctx, v.Crashes(k)) {
 		return false
 	}
-	if v.Stale(now, k) {
+	if v.LastSeenStale(now, k) {
 		x.suspects.RecordSeen(k)
 	}
 	x.result.ContentDigest = k.String()
@@ -81,8 +81,8 @@
 // running it. From a certain number of crashes on it may be sent only on trial, by one router
 // at a time.
 func (x *inflight) maySendSuspect(ctx context.Context, crashes int) bool {
-	if !quarantine.Holds(crashes) || x.onTrial {
-		x.onTrial = !quarantine.MayRepeat(crashes)
+	if !quarantine.HeldBack(crashes) || x.onTrial {
+		x.onTrial = !quarantine.MayRetry(crashes)
 		return true
 	}
 	x.onTrial = x.suspects.StartTrial(ctx, x.key(), x.deadline)
@@ -104,7 +104,7 @@
 		return false
 	}
 	crashes := x.suspects.RecordBreak(ctx, Break{Key: x.key(), Organisation: x.Organisation, Target: to, TargetExited: ended, OnTrial: x.onTrial})
-	return !quarantine.MayRepeat(crashes)
+	return !quarantine.MayRetry(crashes)
 }
 
 // clearSuspicion clears the suspicion against a request that a target has run to its end.
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -169,10 +169,10 @@
 
 // suspect counts a change of what is known of a request that ended targets.
 func (m *Metrics) suspect(r quarantine.Record) {
-	switch n := r.Standing(); {
+	switch n := r.Uncleared(); {
 	case n == 0:
 		m.suspects.Add("cleared", 1)
-	case quarantine.Holds(n):
+	case quarantine.HeldBack(n):
 		m.suspects.Add("held", 1)
 	case n == 1:
 		m.suspects.Add("bystander", 1)
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -31,8 +31,8 @@
 
 func newSuspect(now time.Time, v *quarantine.View, r quarantine.Record) Suspect {
 	out := Suspect{
-		Content: r.Key.String(), Organisation: r.Organisation, Targets: crashedTargets(r), Crashes: r.Standing(),
-		LastCrash: r.SinceCrash.Seconds(), LastSeen: r.SinceSeen.Seconds(), Away: v.Held(now, r.Key).Seconds(),
+		Content: r.Key.String(), Organisation: r.Organisation, Targets: crashedTargets(r), Crashes: r.Uncleared(),
+		LastCrash: r.SinceCrash.Seconds(), LastSeen: r.SinceSeen.Seconds(), Away: v.RejectedFor(now, r.Key).Seconds(),
 	}
 	for _, c := range r.Crashes {
 		if c.Trial {
@@ -42,7 +42,7 @@
 	switch {
 	case out.Crashes == 0:
 		out.State = "cleared"
-	case quarantine.Holds(out.Crashes):
+	case quarantine.HeldBack(out.Crashes):
 		out.State = "held back"
 	case out.Away > 0:
 		out.State = "sent away"
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -41,7 +41,7 @@
 // Restore takes over requests that were held back before this router started.
 func (g *Gateway) Restore(list []quarantine.Record) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
-		news, parcels := g.isolation.exchange.Heard(now, list)
+		news, parcels := g.isolation.exchange.Receive(now, list)
 		g.suspected(news, parcels, fromStore)
 	})
 }
@@ -61,9 +61,9 @@
 		}
 		name := b.Target.Incarnation()
 		if b.TargetExited {
-			g.isolation.state.Ended(now, name)
+			g.isolation.state.RecordExit(now, name)
 		}
-		crashes = g.isolation.state.Broke(now, b.Key, b.Organisation, name, b.OnTrial)
+		crashes = g.isolation.state.RecordBreak(now, b.Key, b.Organisation, name, b.OnTrial)
 		g.found(now)
 	})
 	return crashes
@@ -74,7 +74,7 @@
 func (g suspects) StartTrial(ctx context.Context, k quarantine.Key, until time.Time) bool {
 	may := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
-		may = g.ranksFirst(now, k) && g.isolation.state.Try(now, k, until)
+		may = g.ranksFirst(now, k) && g.isolation.state.StartTrial(now, k, until)
 		if may {
 			g.Log.Info("request on trial", "content", k.String())
 		}
@@ -84,14 +84,14 @@
 
 // EndTrial implements forward.Suspects.
 func (g suspects) EndTrial(k quarantine.Key) {
-	g.loop.Post(func(*balance.State, time.Time) { g.isolation.state.Tried(k) })
+	g.loop.Post(func(*balance.State, time.Time) { g.isolation.state.EndTrial(k) })
 }
 
 // RecordExit implements forward.Suspects.
 func (g suspects) RecordExit(t balance.Target) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
 		if !g.announced(s, t) {
-			g.isolation.state.Ended(now, t.Incarnation())
+			g.isolation.state.RecordExit(now, t.Incarnation())
 			g.found(now)
 		}
 	})
@@ -108,7 +108,7 @@
 // RecordSeen implements forward.Suspects.
 func (g suspects) RecordSeen(k quarantine.Key) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
-		g.isolation.state.Seen(now, k)
+		g.isolation.state.RecordSeen(now, k)
 		g.publishSuspects()
 	})
 }
@@ -136,7 +136,7 @@
 		}
 		lives[t.ID] = t.Born
 		if ok {
-			g.isolation.state.Ended(now, balance.Target{ID: t.ID, Born: known}.Incarnation())
+			g.isolation.state.RecordExit(now, balance.Target{ID: t.ID, Born: known}.Incarnation())
 		}
 	}
 	g.found(now)
@@ -148,13 +148,13 @@
 // found puts in force what is newly known because of what happened here, keeps it, and tells
 // other routers.
 func (g *Gateway) found(now time.Time) {
-	news, parcels := g.isolation.exchange.Found(now)
+	news, parcels := g.isolation.exchange.Updates(now)
 	g.suspected(news, parcels, g.ID)
 	g.keep(news)
 }
 
 // suspected puts what is newly known in force, logs it, and tells other routers.
-func (g *Gateway) suspected(news []quarantine.Record, parcels []quarantine.Parcel, from string) {
+func (g *Gateway) suspected(news []quarantine.Record, parcels []quarantine.Outgoing, from string) {
 	if len(news) == 0 {
 		return
 	}
@@ -174,10 +174,10 @@
 	}
 	for _, r := range list {
 		kept := true
-		switch n := r.Standing(); {
-		case quarantine.Holds(n):
+		switch n := r.Uncleared(); {
+		case quarantine.HeldBack(n):
 			kept = g.Keeper.Keep(r)
-		case n == 0 && quarantine.Holds(len(r.Crashes)):
+		case n == 0 && quarantine.HeldBack(len(r.Crashes)):
 			kept = g.Keeper.Drop(r.Key)
 		}
 		if !kept {
@@ -206,13 +206,13 @@
 func (g *Gateway) logSuspects(list []quarantine.Record, from string) {
 	for _, r := range list {
 		g.Metrics.suspect(r)
-		standing := r.Standing()
+		standing := r.Uncleared()
 		if len(r.Crashes) == 1 {
 			continue
 		}
 		what := "request suspected"
 		switch {
-		case quarantine.Holds(standing):
+		case quarantine.HeldBack(standing):
 			what = "request held back"
 		case standing == 0:
 			what = "request cleared"
@@ -237,14 +237,14 @@
 		g.tellSuspects(from, g.isolation.exchange.All(now))
 		return
 	}
-	news, parcels := g.isolation.exchange.Heard(now, m.Records)
+	news, parcels := g.isolation.exchange.Receive(now, m.Records)
 	g.suspected(news, parcels, string(from.ID))
 }
 
 // compareSuspects asks a router that knows something else of suspected requests for all of
 // it.
 func (g *Gateway) compareSuspects(now time.Time, from member.Member, digest uint64) {
-	if g.isolation.exchange.Differs(now, digest) {
+	if g.isolation.exchange.ShouldPull(now, digest) {
 		g.tell(from, message.Quarantine{WantAll: true})
 	}
 }
@@ -256,10 +256,10 @@
 	}
 	g.isolation.expired = now
 	for _, r := range g.isolation.state.Expire(now) {
-		if r.Standing() > 1 {
-			g.Log.Info("request forgotten", "content", r.Key.String(), "organisation", r.Organisation, "crashes", r.Standing())
+		if r.Uncleared() > 1 {
+			g.Log.Info("request forgotten", "content", r.Key.String(), "organisation", r.Organisation, "crashes", r.Uncleared())
 		}
-		if g.Keeper != nil && quarantine.Holds(r.Standing()) && g.ranksFirst(now, r.Key) && !g.Keeper.Drop(r.Key) {
+		if g.Keeper != nil && quarantine.HeldBack(r.Uncleared()) && g.ranksFirst(now, r.Key) && !g.Keeper.Drop(r.Key) {
 			g.Log.Info("request held back not dropped", "content", r.Key.String())
 		}
 		g.publishSuspects()
--- a/internal/quarantine/accuse.go
+++ b/internal/quarantine/accuse.go
@@ -4,7 +4,7 @@
 
 // Shared reports whether all routers need to know of a request: more targets crashed under it
 // than by chance, or another router reported so. Once set, it stays set.
-func (s *State) Common(k Key) bool {
+func (s *State) Shared(k Key) bool {
 	e := s.entries[k]
 	if e == nil {
 		return false
@@ -76,11 +76,11 @@
 
 // NothingPending reports whether there are no updates, and no undecided requests that may
 // become updates with time alone.
-func (s *State) Quiet() bool { return len(s.updated) == 0 && len(s.undecided) == 0 }
+func (s *State) NothingPending() bool { return len(s.updated) == 0 && len(s.undecided) == 0 }
 
 // DeferToCollectors sets whether other routers decide if two targets that exited at the same
 // time implicate a request.
-func (s *State) Defer(deferring bool) {
+func (s *State) DeferToCollectors(deferring bool) {
 	if s.deferring != deferring {
 		s.deferring = deferring
 		s.view = nil
--- a/internal/quarantine/exchange.go
+++ b/internal/quarantine/exchange.go
@@ -33,14 +33,14 @@
 // Fleet returns routers by the addresses at which they receive records of suspected requests.
 type Fleet interface {
 	// RandomPeers returns a few other routers, drawn at random.
-	Few(now time.Time) []string
+	RandomPeers(now time.Time) []string
 	// Ranked returns the n routers that rank first for a key, without this one if it is
 	// among them.
 	Ranked(now time.Time, key string, n int) []string
 }
 
 // Outgoing holds the records to send to one router.
-type Parcel struct {
+type Outgoing struct {
 	To      string
 	Records []Record
 }
@@ -79,26 +79,26 @@
 
 // Updates returns the records that changed by events at this router or with time, and the
 // records to send to other routers.
-func (x *Exchange) Found(now time.Time) ([]Record, []Parcel) {
-	if x.state.Quiet() && len(x.unreported) == 0 {
+func (x *Exchange) Updates(now time.Time) ([]Record, []Outgoing) {
+	if x.state.NothingPending() && len(x.unreported) == 0 {
 		return nil, nil
 	}
 	collectors := x.fleet.Ranked(now, collectorsKey, collectorCount)
-	x.state.Defer(len(collectors) == collectorCount)
-	updates := x.state.News(now)
+	x.state.DeferToCollectors(len(collectors) == collectorCount)
+	updates := x.state.Updates(now)
 	shared, first := x.split(updates)
 	return updates, append(x.gossip(now, shared), x.report(now, collectors, first)...)
 }
 
 // Receive merges another router's records, and returns the records that changed by it and the
 // records to send to other routers.
-func (x *Exchange) Heard(now time.Time, list []Record) ([]Record, []Parcel) {
+func (x *Exchange) Receive(now time.Time, list []Record) ([]Record, []Outgoing) {
 	before := x.state.Digest()
 	x.state.Merge(now, x.limitFirst(now, list))
 	if x.state.Digest() != before {
 		x.pullInterval = minPullInterval
 	}
-	updates := x.state.News(now)
+	updates := x.state.Updates(now)
 	shared, _ := x.split(updates)
 	return updates, x.gossip(now, shared)
 }
@@ -119,7 +119,7 @@
 // split separates the records for all routers from those for the collectors only.
 func (x *Exchange) split(updates []Record) (shared, first []Record) {
 	for _, r := range updates {
-		if x.state.Common(r.Key) {
+		if x.state.Shared(r.Key) {
 			shared = append(shared, r)
 		} else {
 			first = append(first, r)
@@ -129,25 +129,25 @@
 }
 
 // gossip returns records to send to a few random routers, which do the same.
-func (x *Exchange) gossip(now time.Time, list []Record) []Parcel {
+func (x *Exchange) gossip(now time.Time, list []Record) []Outgoing {
 	if len(list) == 0 {
 		return nil
 	}
-	peers := x.fleet.Few(now)
+	peers := x.fleet.RandomPeers(now)
 	list = x.sharedLimit.admit(now, list, len(peers))
 	if len(list) == 0 {
 		return nil
 	}
-	out := make([]Parcel, 0, len(peers))
+	out := make([]Outgoing, 0, len(peers))
 	for _, to := range peers {
-		out = append(out, Parcel{To: to, Records: list})
+		out = append(out, Outgoing{To: to, Records: list})
 	}
 	return out
 }
 
 // report returns what to send to the collectors: the changes since the last report. Each
 // crash gets a record of its own, since a record with two crashes is for all routers.
-func (x *Exchange) report(now time.Time, collectors []string, updates []Record) []Parcel {
+func (x *Exchange) report(now time.Time, collectors []string, updates []Record) []Outgoing {
 	var list []Record
 	for _, r := range updates {
 		for _, c := range r.Crashes {
@@ -159,9 +159,9 @@
 	if len(x.unreported) == 0 || now.Sub(x.reportedAt) < collectInterval {
 		return nil
 	}
-	out := make([]Parcel, 0, len(collectors))
+	out := make([]Outgoing, 0, len(collectors))
 	for _, to := range collectors {
-		out = append(out, Parcel{To: to, Records: x.unreported})
+		out = append(out, Outgoing{To: to, Records: x.unreported})
 	}
 	x.unreported, x.reportedAt = nil, now
 	return out
@@ -169,7 +169,7 @@
 
 // ShouldPull reports whether to pull all records from a router with this digest. Gossip reaches
 // nearly all routers at once; a pull is for those that were unreachable or missed it.
-func (x *Exchange) Differs(now time.Time, digest uint64) bool {
+func (x *Exchange) ShouldPull(now time.Time, digest uint64) bool {
 	if digest == x.state.Digest() || digest == 0 || now.Sub(x.pulledAt) < x.pullInterval {
 		return false
 	}
@@ -180,7 +180,7 @@
 
 // All returns the records to send to a router that pulls all.
 func (x *Exchange) All(now time.Time) []Record {
-	return x.sharedLimit.admit(now, x.state.AllCommon(now), 1)
+	return x.sharedLimit.admit(now, x.state.AllShared(now), 1)
 }
 
 // byteLimit is a leaky bucket: the used bytes drain at rate bytes a second, and records are
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -36,7 +36,7 @@
 	maxEntriesPerOrganisation = 256
 	// MaxCrashes bounds the crashes recorded for one request. A request is no longer sent
 	// after six; the others are for operators who hold and release it.
-	CrashesMost = 32
+	MaxCrashes = 32
 )
 
 // trialDelays are the delays from the last crash to the next trial, by the number of trials
@@ -88,7 +88,7 @@
 // of crashes known under the request. The broken answer counts as a crash only once the
 // target is known to have exited, which may be before this call or later. trial is set if other
 // targets were known to have crashed under the request when it was sent.
-func (s *State) Broke(now time.Time, k Key, organisation, target string, trial bool) int {
+func (s *State) RecordBreak(now time.Time, k Key, organisation, target string, trial bool) int {
 	s.expireBroken(now)
 	b := brokenRequest{key: k, organisation: organisation, crash: Crash{Target: target, Trial: trial}, at: now}
 	if s.exits.recent(now, target) {
@@ -101,7 +101,7 @@
 
 // TargetExited records that a target's process has exited without notice: it crashed under one
 // of the requests whose answers broke off there.
-func (s *State) Ended(now time.Time, target string) {
+func (s *State) RecordExit(now time.Time, target string) {
 	s.expireBroken(now)
 	s.exits.add(now, target)
 	s.view = nil
@@ -150,7 +150,7 @@
 // addCrash records that a target crashed under a request whose answer broke off there.
 func (s *State) addCrash(now time.Time, b brokenRequest) {
 	e := s.ensureEntry(now, b.key, b.organisation)
-	if _, known := e.crashes[b.crash.Target]; known || len(e.crashes) >= CrashesMost {
+	if _, known := e.crashes[b.crash.Target]; known || len(e.crashes) >= MaxCrashes {
 		return
 	}
 	s.updateCrash(b.key, e, b.crash)
@@ -236,7 +236,7 @@
 // StartTrial reports whether a held-back request may be sent on trial, and records that it is:
 // the delay is over, and no other trial is under way. For each request, only one router of the
 // fleet calls it, so that one trial is under way at a time.
-func (s *State) Try(now time.Time, k Key, until time.Time) bool {
+func (s *State) StartTrial(now time.Time, k Key, until time.Time) bool {
 	e := s.entries[k]
 	if e == nil || now.Before(s.rejectedUntil(e)) || now.Before(e.trialUntil) {
 		return false
@@ -246,7 +246,7 @@
 }
 
 // EndTrial records that a trial is over, whatever its outcome.
-func (s *State) Tried(k Key) {
+func (s *State) EndTrial(k Key) {
 	if e := s.entries[k]; e != nil {
 		e.trialUntil = time.Time{}
 	}
@@ -257,7 +257,7 @@
 // if the request has been held too often.
 func (s *State) Hold(now time.Time, k Key, organisation, operator string) bool {
 	e := s.ensureEntry(now, k, organisation)
-	if len(e.crashes)+minCrashesToHold > CrashesMost {
+	if len(e.crashes)+minCrashesToHold > MaxCrashes {
 		return false
 	}
 	for range minCrashesToHold {
@@ -270,7 +270,7 @@
 }
 
 // RecordSeen records that a held-back request has arrived again, which keeps it from expiring.
-func (s *State) Seen(now time.Time, k Key) {
+func (s *State) RecordSeen(now time.Time, k Key) {
 	if e := s.entries[k]; e != nil && now.Sub(e.lastSeen) >= seenResolution {
 		e.lastSeen = now
 		s.view = nil
@@ -281,7 +281,7 @@
 func (s *State) Merge(now time.Time, list []Record) {
 	s.now = latest(s.now, now)
 	for _, r := range list {
-		if r.SinceSeen < 0 || r.SinceCrash < 0 || r.SinceSeen >= suspectTTL && r.Standing() < minCrashesToHold || r.SinceSeen >= heldTTL {
+		if r.SinceSeen < 0 || r.SinceCrash < 0 || r.SinceSeen >= suspectTTL && r.Uncleared() < minCrashesToHold || r.SinceSeen >= heldTTL {
 			continue
 		}
 		s.merge(now, r)
@@ -298,12 +298,12 @@
 			e.lastCrash, e.lastSeen = now.Add(-r.SinceCrash), now.Add(-r.SinceSeen)
 		}
 		old, known := e.crashes[c.Target]
-		if old.Cleared || known && !c.Cleared || !known && len(e.crashes) >= CrashesMost {
+		if old.Cleared || known && !c.Cleared || !known && len(e.crashes) >= MaxCrashes {
 			continue
 		}
 		s.updateCrash(r.Key, e, c)
 		if !c.Cleared && r.SinceCrash < brokenTTL {
-			s.Ended(now.Add(-r.SinceCrash), c.Target)
+			s.RecordExit(now.Add(-r.SinceCrash), c.Target)
 		}
 	}
 	if e := s.entries[r.Key]; e != nil {
@@ -335,7 +335,7 @@
 }
 
 // Updates returns the records that changed since the last call.
-func (s *State) News(now time.Time) []Record {
+func (s *State) Updates(now time.Time) []Record {
 	s.resolveUndecided(now)
 	list := make([]Record, 0, len(s.updated))
 	for k := range s.updated {
@@ -351,7 +351,7 @@
 }
 
 // AllShared returns the records that all routers need to know of.
-func (s *State) AllCommon(now time.Time) []Record {
+func (s *State) AllShared(now time.Time) []Record {
 	return s.records(now, func(e *entry) bool { return e.shared })
 }
 
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -18,9 +18,9 @@
 // end ends a target under requests.
 func end(s *quarantine.State, now time.Time, target string, trial bool, bodies ...string) {
 	for _, body := range bodies {
-		s.Broke(now, key(body), "o", target, trial)
+		s.RecordBreak(now, key(body), "o", target, trial)
 	}
-	s.Ended(now, target)
+	s.RecordExit(now, target)
 }
 
 // ExampleState shows the life of an entry: suspected, sent away, held back, cleared.
@@ -29,11 +29,11 @@
 	now := time.Unix(1000, 0)
 	k := quarantine.KeyOf("o", "POST", "/ask", []byte("question"))
 	show := func() {
-		fmt.Println(s.View().Crashes(k), "ended, sent away for", s.View().Held(now, k))
+		fmt.Println(s.View().Crashes(k), "ended, sent away for", s.View().RejectedFor(now, k))
 	}
 	for _, target := range []string{"a", "b", "c"} {
-		s.Broke(now, k, "o", target, s.View().Crashes(k) > 1)
-		s.Ended(now, target)
+		s.RecordBreak(now, k, "o", target, s.View().Crashes(k) > 1)
+		s.RecordExit(now, target)
 		show()
 		now = now.Add(5 * time.Second)
 	}
@@ -49,26 +49,26 @@
 func TestNotACrash(t *testing.T) {
 	cases := map[string]func(s *quarantine.State){
 		"a broken answer of a target that runs on": func(s *quarantine.State) {
-			s.Broke(start, key("q"), "o", "a", false)
+			s.RecordBreak(start, key("q"), "o", "a", false)
 		},
 		"the end of a target long after": func(s *quarantine.State) {
-			s.Broke(start, key("q"), "o", "a", false)
-			s.Ended(start.Add(time.Minute), "a")
+			s.RecordBreak(start, key("q"), "o", "a", false)
+			s.RecordExit(start.Add(time.Minute), "a")
 		},
 		"the end of another target": func(s *quarantine.State) {
-			s.Broke(start, key("q"), "o", "a", false)
-			s.Ended(start, "b")
+			s.RecordBreak(start, key("q"), "o", "a", false)
+			s.RecordExit(start, "b")
 		},
 		"the end of another incarnation": func(s *quarantine.State) {
-			s.Broke(start, key("q"), "o", "a@2", false)
-			s.Ended(start, "a@1")
+			s.RecordBreak(start, key("q"), "o", "a@2", false)
+			s.RecordExit(start, "a@1")
 		},
 	}
 	for name, play := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := quarantine.New()
 			play(s)
-			if n := s.View().Crashes(key("q")); n != 0 || len(s.News(start)) > 0 {
+			if n := s.View().Crashes(key("q")); n != 0 || len(s.Updates(start)) > 0 {
 				t.Errorf("%d crashes known", n)
 			}
 		})
@@ -77,9 +77,9 @@
 
 func TestEndThatTurnsOutLater(t *testing.T) {
 	s := quarantine.New()
-	s.Broke(start, key("q"), "o", "a", false)
-	s.Ended(start.Add(2*time.Second), "a")
-	if n := s.Broke(start.Add(3*time.Second), key("r"), "o", "a", false); n != 1 || s.View().Crashes(key("q")) != 1 {
+	s.RecordBreak(start, key("q"), "o", "a", false)
+	s.RecordExit(start.Add(2*time.Second), "a")
+	if n := s.RecordBreak(start.Add(3*time.Second), key("r"), "o", "a", false); n != 1 || s.View().Crashes(key("q")) != 1 {
 		t.Errorf("%d and %d crashes known, want 1 and 1", s.View().Crashes(key("q")), n)
 	}
 }
@@ -90,22 +90,22 @@
 		end(s, now, target, false, "q")
 	}
 	for i, pause := range []time.Duration{3 * time.Second, 30 * time.Second, 5 * time.Minute} {
-		if s.Try(now.Add(pause-time.Millisecond), key("q"), now.Add(time.Hour)) {
+		if s.StartTrial(now.Add(pause-time.Millisecond), key("q"), now.Add(time.Hour)) {
 			t.Fatalf("trial %d before its time", i)
 		}
 		now = now.Add(pause)
-		if !s.Try(now, key("q"), now.Add(time.Second)) || s.Try(now, key("q"), now.Add(time.Second)) {
+		if !s.StartTrial(now, key("q"), now.Add(time.Second)) || s.StartTrial(now, key("q"), now.Add(time.Second)) {
 			t.Fatalf("trial %d: want one and no more", i)
 		}
 		end(s, now, fmt.Sprint("t", i), true, "q")
-		s.Tried(key("q"))
+		s.EndTrial(key("q"))
 	}
 	// It comes again and again for most of a day.
 	for range 20 * 60 {
 		now = now.Add(time.Minute)
-		s.Seen(now, key("q"))
+		s.RecordSeen(now, key("q"))
 		s.Expire(now)
-		if s.Try(now, key("q"), now) {
+		if s.StartTrial(now, key("q"), now) {
 			t.Fatal("a fourth trial")
 		}
 	}
@@ -118,7 +118,7 @@
 	s := quarantine.New()
 	for range 2 {
 		s.Hold(start, key("q"), "o", "operator")
-		if n := s.View().Crashes(key("q")); !quarantine.Holds(n) {
+		if n := s.View().Crashes(key("q")); !quarantine.HeldBack(n) {
 			t.Errorf("%d crashes stand after it was held back", n)
 		}
 		s.Clear(key("q"))
@@ -134,7 +134,7 @@
 	end(s, start, "b", false, "q")
 	for i := range 5000 {
 		end(s, start.Add(time.Second), "c", false, fmt.Sprint("variant ", i))
-		s.Broke(start, key("other"), fmt.Sprint("organisation ", i%50), fmt.Sprint("d", i), false)
+		s.RecordBreak(start, key("other"), fmt.Sprint("organisation ", i%50), fmt.Sprint("d", i), false)
 	}
 	if n := len(s.All(start)); n > 1024 {
 		t.Errorf("%d requests kept", n)
@@ -145,7 +145,7 @@
 	for i := range 100 {
 		end(s, start, fmt.Sprint("e", i), false, "q")
 	}
-	if n := s.View().Crashes(key("q")); n > quarantine.CrashesMost {
+	if n := s.View().Crashes(key("q")); n > quarantine.MaxCrashes {
 		t.Errorf("%d crashes kept of one request", n)
 	}
 }
@@ -250,6 +250,6 @@
 	v, k := s.View(), key("7")
 	b.ReportAllocs()
 	for b.Loop() {
-		v.Held(start, k)
+		v.RejectedFor(start, k)
 	}
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -29,7 +29,7 @@
 }
 
 // Uncleared returns the number of crashes that are not cleared.
-func (r Record) Standing() int {
+func (r Record) Uncleared() int {
 	n := 0
 	for _, c := range r.Crashes {
 		if !c.Cleared {
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -36,7 +36,7 @@
 }
 
 // RejectedFor returns how much longer a request must not be sent, 0 if it may be.
-func (v *View) Held(now time.Time, k Key) time.Duration {
+func (v *View) RejectedFor(now time.Time, k Key) time.Duration {
 	if v == nil {
 		return 0
 	}
@@ -53,17 +53,17 @@
 
 // LastSeenStale reports whether State.RecordSeen should be called for a held-back request that
 // has arrived again.
-func (v *View) Stale(now time.Time, k Key) bool {
+func (v *View) LastSeenStale(now time.Time, k Key) bool {
 	return now.Sub(v.marks[k].lastSeen) >= seenResolution
 }
 
 // HeldBack reports whether a request is held back after this number of crashes: it may be sent
 // on trial only, see State.StartTrial.
-func Holds(crashes int) bool { return crashes >= minCrashesToHold }
+func HeldBack(crashes int) bool { return crashes >= minCrashesToHold }
 
 // MayRetry reports whether a router may retry a request at another target on its own after this
 // number of crashes.
-func MayRepeat(crashes int) bool { return crashes < minCrashesToReject }
+func MayRetry(crashes int) bool { return crashes < minCrashesToReject }
 
 // crashDigest returns what a crash adds to the State's digest.
 func crashDigest(k Key, c Crash) uint64 {
--- a/internal/roster/detect.go
+++ b/internal/roster/detect.go
@@ -56,9 +56,9 @@
 	return out
 }
 
-// Few returns the Peer addresses of a few other routers, drawn at random, to forward an
+// RandomPeers returns the Peer addresses of a few other routers, drawn at random, to forward an
 // update to.
-func (r *Roster) Few(now time.Time) []string { return r.gossipPeers(now, false) }
+func (r *Roster) RandomPeers(now time.Time) []string { return r.gossipPeers(now, false) }
 
 // gossipPeers returns the Peer addresses of a few running routers, drawn at random, and fewer
 // of them if there is more than one message for each. If no other router is known to run, it
--- a/internal/roster/news_test.go
+++ b/internal/roster/news_test.go
@@ -41,11 +41,11 @@
 
 // sendFound forwards the records that are new at a router.
 func (s *quarantineFleet) sendFound(r *router) {
-	_, parcels := s.exchanges[s.index[r]].Found(s.time())
+	_, parcels := s.exchanges[s.index[r]].Updates(s.time())
 	s.sendParcels(r, parcels)
 }
 
-func (s *quarantineFleet) sendParcels(r *router, parcels []quarantine.Parcel) {
+func (s *quarantineFleet) sendParcels(r *router, parcels []quarantine.Outgoing) {
 	for _, p := range parcels {
 		s.sendRecords(r, s.byPeer[p.To], p.Records)
 	}
@@ -73,7 +73,7 @@
 		delay := minLatency + time.Duration(s.random.Int64N(int64(maxProcessingDelay)))
 		s.after(delay, func() {
 			s.received += len(part)
-			_, parcels := s.exchanges[s.index[to]].Heard(s.time(), part)
+			_, parcels := s.exchanges[s.index[to]].Receive(s.time(), part)
 			s.sendParcels(to, parcels)
 		})
 	}
@@ -82,7 +82,7 @@
 // ping compares the digest of a router with that of a random one, four times a second.
 func (s *quarantineFleet) ping(r *router) {
 	other := s.routers[s.random.IntN(len(s.routers))]
-	if s.exchanges[s.index[r]].Differs(s.time(), s.states[s.index[other]].Digest()) {
+	if s.exchanges[s.index[r]].ShouldPull(s.time(), s.states[s.index[other]].Digest()) {
 		s.sendRecords(other, r, s.exchanges[s.index[other]].All(s.time()))
 	}
 	s.after(250*time.Millisecond, func() { s.ping(r) })
@@ -118,8 +118,8 @@
 			for end := range 3 {
 				r := f.routers[f.random.IntN(n)]
 				state := s.states[s.index[r]]
-				state.Broke(f.time(), k, "o", fmt.Sprint("t", end), false)
-				state.Ended(f.time(), fmt.Sprint("t", end))
+				state.RecordBreak(f.time(), k, "o", fmt.Sprint("t", end), false)
+				state.RecordExit(f.time(), fmt.Sprint("t", end))
 				s.sendFound(r)
 				f.run(50 * time.Millisecond)
 			}
--- a/internal/roster/storm_test.go
+++ b/internal/roster/storm_test.go
@@ -41,8 +41,8 @@
 		s.after(time.Duration(s.random.Int64N(int64(maxDetectionDelay))), func() {
 			state := s.states[s.index[r]]
 			name := fmt.Sprint("engine-", engine)
-			state.Ended(s.time(), name)
-			state.Broke(s.time(), k, "o", name, false)
+			state.RecordExit(s.time(), name)
+			state.RecordBreak(s.time(), k, "o", name, false)
 			s.sendFound(r)
 		})
 	}
@@ -66,7 +66,7 @@
 	for _, state := range s.states {
 		v := state.View()
 		for _, k := range keys {
-			if v.Held(s.time(), k) > 0 {
+			if v.RejectedFor(s.time(), k) > 0 {
 				n++
 			}
 		}
