--- a/internal/balance/advice.go
+++ b/internal/balance/advice.go
@@ -13,12 +13,12 @@
 	if t.target == nil {
 		return false
 	}
-	record, news := s.advice.SetLeaving(now, t.target.incarnation)
+	record, isNew := s.advice.SetLeaving(now, t.target.incarnation)
 	s.setReported(t.target, record)
-	if news {
+	if isNew {
 		s.refuseUnservable(now)
 	}
-	return news
+	return isNew
 }
 
 // RecordBackoff records that a request's target asked in its answer for a backoff of d. It
@@ -28,13 +28,13 @@
 		return false
 	}
 	spread := time.Duration(s.random.Int64N(int64(min(d, advice.MaxBackoff))*backoffJitterPercent/100 + 1))
-	record, news := s.advice.SetBackoff(now, t.target.incarnation, d+spread)
+	record, isNew := s.advice.SetBackoff(now, t.target.incarnation, d+spread)
 	s.setReported(t.target, record)
 	t.target.probe = nil
-	if news {
+	if isNew {
 		s.refuseUnservable(now)
 	}
-	return news
+	return isNew
 }
 
 // setReported sets a target's record, and also that of the listed target of the same
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -117,7 +117,7 @@
 	// unstarted holds this router's requests that the target has not started to answer, oldest
 	// first.
 	unstarted []*Ticket
-	// coldUntil is the latest time at which the target is still cold, recent counts the
+	// coldUntil is the latest time at which the target is still cold, recentSends counts the
 	// requests sent to it lately.
 	coldUntil   time.Time
 	recentSends coldstart.Window
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -128,7 +128,9 @@
 	return k
 }
 
-// home returns the engine that rendezvous hashing assigns a prompt to.
+// home returns the engine that rendezvous hashing assigns a prompt to. Prompts that are cached
+// in each availability zone separately are hashed over the engines of this router's zone, if
+// it has any.
 func (s *State) home(t *Ticket, candidates []*target) *target {
 	if shared := t.Input - ownTokens(t); shared > maxZoneLocalTokens && shared*100 > t.Input*maxZoneLocalPercent {
 		return rendezvousTarget(candidates, t.affinity())
--- a/internal/balance/loop.go
+++ b/internal/balance/loop.go
@@ -68,10 +68,10 @@
 	m.lastAt, m.lastUsed = now, used
 }
 
-// SetMeter makes the loop measure how much of a number of cores the router uses; used returns
-// the processor time used since the start. It must be called before Run.
-func (l *Loop) SetMeter(used func() time.Duration, cores float64) {
-	l.meter.cpuTime, l.meter.cores = used, cores
+// SetMeter makes the loop measure how much of a number of cores the router uses; cpuTime
+// returns the processor time used since the start. It must be called before Run.
+func (l *Loop) SetMeter(cpuTime func() time.Duration, cores float64) {
+	l.meter.cpuTime, l.meter.cores = cpuTime, cores
 }
 
 // OnResume sets a function that is called, like an event, when the box resumes after it was
--- a/internal/balance/rest_test.go
+++ b/internal/balance/rest_test.go
@@ -74,24 +74,24 @@
 }
 
 // follow sends a request on once it has a target, and checks again later while it waits.
-func (p *backoffSim) follow(k *balance.Ticket, repeats int) {
+func (p *backoffSim) follow(k *balance.Ticket, retries int) {
 	d := decision(k)
 	switch {
 	case d == nil:
-		p.after(simStep, func() { p.follow(k, repeats) })
+		p.after(simStep, func() { p.follow(k, retries) })
 	case d.Refused != "":
 		p.refused = append(p.refused, *d)
 	default:
-		way := time.Millisecond
+		transit := time.Millisecond
 		if p.IntN(50) == 0 {
-			way = time.Duration(p.Int64N(int64(maxTransit)))
+			transit = time.Duration(p.Int64N(int64(maxTransit)))
 		}
-		p.after(way, func() { p.reach(k, d.Target.ID, repeats) })
+		p.after(transit, func() { p.reach(k, d.Target.ID, retries) })
 	}
 }
 
 // reach simulates that a request reaches its target.
-func (p *backoffSim) reach(k *balance.Ticket, id string, repeats int) {
+func (p *backoffSim) reach(k *balance.Ticket, id string, retries int) {
 	p.arrived[id] = append(p.arrived[id], p.now)
 	if p.now.Before(p.from) || !p.now.Before(p.until) || !p.refuses(id) {
 		p.after(20*time.Millisecond, func() { p.Started(p.now, k) })
@@ -108,8 +108,8 @@
 		}
 		p.Ended(p.now, k, balance.Refused)
 		k.Tried = append(k.Tried, id)
-		if repeats > 0 && p.Retry(p.now, k) {
-			p.follow(k, repeats-1)
+		if retries > 0 && p.Retry(p.now, k) {
+			p.follow(k, retries-1)
 		}
 	})
 }
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -12,8 +12,8 @@
 	// able to start in time.
 	backlogPercent = 35
 	// shareTolerance is the ratio to its share up to which an organisation counts as within
-	// it. Shares are counted over seconds, of which the last half is known late, and requests
-	// come in bursts. Beyond, the backlog that the organisation may fill shrinks in
+	// it. Shares are counted over some seconds, the last half of which is known late, and
+	// requests come in bursts. Beyond, the backlog that the organisation may fill shrinks in
 	// proportion, to leave room to others.
 	shareTolerance = 1.5
 	// minRoomPercent is the part of the allowed backlog that stays open to every organisation.
--- a/internal/balance/shares.go
+++ b/internal/balance/shares.go
@@ -103,7 +103,7 @@
 			demands = append(demands, u.Demand)
 		}
 	})
-	// A constant rate decays to rate times the time constant.
+	// The decayed sum of a constant rate converges to the rate times the time constant.
 	capacity := s.shares.capacity * s.limits.QuotaWindow.Seconds() / 2
 	s.level = level{tokens: maxMinLevel(demands, capacity), computedAt: now}
 	return s.level.tokens
--- a/internal/balance/smallbox_test.go
+++ b/internal/balance/smallbox_test.go
@@ -17,7 +17,7 @@
 //	"organisation let in again","reason":"router-busy","unread":1728,"after_ms":5480
 //
 // There were two causes. Three quarters of the processor time of a request went into
-// forwarding its events one by one, 40 of them for the requests with the smallest prompts. And
+// forwarding its events one by one, 40 of them for the requests with the fewest tokens. And
 // requests were shed by number, whatever their tokens, and were retried, until shedding took
 // the time needed for serving: a router that could serve 200 requests a second served 80. An
 // organisation must be served at least half of its demand, or of what the best served one
@@ -120,7 +120,7 @@
 
 // runFloods simulates overloads of a small box whose control loop competes for the processor,
 // with a fraction of impatient callers.
-func runFloods(t *testing.T, heedless float64, check func(t *testing.T, seed uint64, b *box, seconds []second)) {
+func runFloods(t *testing.T, impatient float64, check func(t *testing.T, seed uint64, b *box, seconds []second)) {
 	t.Helper()
 	for name, c := range map[string]struct {
 		rates []float64
@@ -133,7 +133,7 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(5) {
 				b := newBox(t, seed)
-				b.contended, b.impatient = true, heedless
+				b.contended, b.impatient = true, impatient
 				check(t, seed, b, b.run(c.rates, c.each))
 			}
 		})
--- a/internal/balance/ticket.go
+++ b/internal/balance/ticket.go
@@ -38,7 +38,7 @@
 	// Pieces is the number of pieces in which the answer was forwarded. The request's own
 	// goroutine sets it.
 	Pieces atomic.Int64
-	// Decision receives one decision for each call of Arrive or Unsent, and of Retry that
+	// Decision receives one decision for each call of Arrive or Requeue, and of Retry that
 	// returned true. Its capacity must be one.
 	Decision chan Decision
 
