--- a/internal/balance/queue.go
+++ b/internal/balance/queue.go
@@ -110,11 +110,11 @@
 // refusalReason returns why no target was found for a request.
 func (s *State) refusalReason(now time.Time, t *Ticket) Reason {
 	open := slices.ContainsFunc(s.services[t.Service], func(to *target) bool { return !to.Closed(now) })
-	_, rest := s.backoffEnd(now, t.Service, t.Tried)
+	_, backingOff := s.backoffEnd(now, t.Service, t.Tried)
 	switch {
 	case !open:
 		return NoTarget
-	case rest:
+	case backingOff:
 		return BackingOff
 	case s.mustQueue(now, t):
 		return OverShare
@@ -144,8 +144,8 @@
 		return "", false
 	}
 	if slices.ContainsFunc(list, func(to *target) bool { return !to.Closed(now) }) {
-		end, rest := s.backoffEnd(now, t.Service, t.Tried)
-		return BackingOff, rest && end.After(t.expires)
+		end, backingOff := s.backoffEnd(now, t.Service, t.Tried)
+		return BackingOff, backingOff && end.After(t.expires)
 	}
 	if s.allDrained(now, t.Service) {
 		return Drained, true
