--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -16,7 +16,7 @@
 )
 
 // errEventOrder means that the ids of a stream's events do not increase.
-var errEventOrder = errors.New("event ids out of order")
+var errEventOrder = errors.New("events out of order")
 
 // eventReader reads a stream of server-sent events in batches of whole events.
 type eventReader struct {
