--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -84,7 +84,7 @@
 	return &State{entries: map[Key]*entry{}, entriesOf: map[string]int{}, exits: exits{}, undecided: map[Key]bool{}, updated: map[Key]bool{}}
 }
 
-// AnswerBroke records that a target broke off its answer to a request, and returns the number
+// RecordBreak records that a target broke off its answer to a request, and returns the number
 // of crashes known under the request. The broken answer counts as a crash only once the
 // target is known to have exited, which may be before this call or later. trial is set if other
 // targets were known to have crashed under the request when it was sent.
@@ -99,7 +99,7 @@
 	return s.crashesOf(k)
 }
 
-// TargetExited records that a target's process has exited without notice: it crashed under one
+// RecordExit records that a target's process has exited without notice: it crashed under one
 // of the requests whose answers broke off there.
 func (s *State) RecordExit(now time.Time, target string) {
 	s.expireBroken(now)
