--- a/internal/balance/advice.go
+++ b/internal/balance/advice.go
@@ -13,12 +13,12 @@
 	if t.target == nil {
 		return false
 	}
-	record, news := s.advice.SetLeaving(now, t.target.incarnation)
+	record, isNew := s.advice.SetLeaving(now, t.target.incarnation)
 	s.setReported(t.target, record)
-	if news {
+	if isNew {
 		s.refuseUnservable(now)
 	}
-	return news
+	return isNew
 }
 
 // RecordBackoff records that a request's target asked in its answer for a backoff of d. It
@@ -28,13 +28,13 @@
 		return false
 	}
 	spread := time.Duration(s.random.Int64N(int64(min(d, advice.MaxBackoff))*backoffJitterPercent/100 + 1))
-	record, news := s.advice.SetBackoff(now, t.target.incarnation, d+spread)
+	record, isNew := s.advice.SetBackoff(now, t.target.incarnation, d+spread)
 	s.setReported(t.target, record)
 	t.target.probe = nil
-	if news {
+	if isNew {
 		s.refuseUnservable(now)
 	}
-	return news
+	return isNew
 }
 
 // setReported sets a target's record, and also that of the listed target of the same
@@ -118,16 +118,16 @@
 }
 
 // SentAgainstAdvice returns these counts since the start.
-func (s *State) SentAgainstAdvice() SentAgainstAdvice { return s.against }
+func (s *State) SentAgainstAdvice() SentAgainstAdvice { return s.sentAgainstAdvice }
 
 // noteSent counts a request that is sent in spite of what its target reported, and makes the
 // first one after a backoff the target's probe.
 func (s *State) noteSent(now time.Time, t *Ticket, to *target) {
 	if to.reported.Leaving() {
-		s.against.Leaving++
+		s.sentAgainstAdvice.Leaving++
 	}
 	if to.backingOff(now) {
-		s.against.BackingOff++
+		s.sentAgainstAdvice.BackingOff++
 	}
 	if !to.reported.BackoffUntil().IsZero() {
 		to.probe = t
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -49,7 +49,7 @@
 	// born is the start time of the newest known incarnation, in Unix milliseconds.
 	born int64
 	// lapsedAt is when the entry disappeared while the store was in trouble, zero while the
-	// store holds it. A lapsedAt entry is dropped at lapsedUntil.
+	// store holds it. A lapsed entry is dropped at lapsedUntil.
 	lapsedAt, lapsedUntil time.Time
 	// coldUntil is when the target stops being cold.
 	coldUntil time.Time
@@ -131,7 +131,7 @@
 // now may belong to healthy targets.
 func (c *Catalog) MarkUnstable(now time.Time) { c.unstableUntil = now.Add(c.maxLapse) }
 
-// unstableFor returns the rest of the unstableFor period, 0 if there is none.
+// unstableFor returns the rest of the unstable period, 0 if there is none.
 func (c *Catalog) unstableFor(now time.Time) time.Duration { return max(c.unstableUntil.Sub(now), 0) }
 
 // version returns the operators' version number in the configuration in force, 0 if it has none.
@@ -199,7 +199,7 @@
 }
 
 // newEntry returns the entry for an object of the store that replaces old, which is nil if
-// there is none. It returns old if the object is about an older incarnation.
+// there is none. It returns old itself if the object is about an older incarnation.
 func (c *Catalog) newEntry(now time.Time, old *entry, t message.StoredObject) *entry {
 	known := c.departed[t.Name]
 	if old != nil {
@@ -265,9 +265,9 @@
 }
 
 // ExpireLapsed drops the lapsed entries whose time is over and returns their names, sorted. If
-// most entries have lapsed, the store was unavailable, and all are kept until the unstable period
-// ends. Otherwise an entry's own deadline counts, so that further trouble between this router
-// and the store doesn't keep targets in use that have left.
+// most entries have lapsed, the store was unavailable, and all are kept until the unstable
+// period ends. Otherwise an entry's own deadline counts, so that further trouble between this
+// router and the store doesn't keep targets in use that have left.
 func (c *Catalog) ExpireLapsed(now time.Time) []string {
 	if c.mostLapsed() && now.Before(c.unstableUntil) {
 		return nil
--- a/internal/ingress/headers.go
+++ b/internal/ingress/headers.go
@@ -37,7 +37,7 @@
 		timeout = time.Duration(ms * float64(time.Millisecond))
 	}
 	out.Deadline = out.Arrived.Add(timeout)
-	out.LastEventID = r.Header.Get(s.dialect.LastEvent)
+	out.LastEventID = r.Header.Get(s.dialect.LastEventID)
 	out.Header = s.forwardedHeaders(r.Header)
 	out.Parts = parsePromptParts(r.Header.Get(s.dialect.PromptParts))
 	return nil
@@ -60,7 +60,7 @@
 // could make an engine reserve or move cache memory.
 func (s *Server) withheld(name string) bool {
 	switch name {
-	case s.dialect.RequestID, s.dialect.Deadline, s.dialect.LastEvent, "Authorization", "Expect":
+	case s.dialect.RequestID, s.dialect.Deadline, s.dialect.LastEventID, "Authorization", "Expect":
 		return true
 	}
 	return slices.Contains(s.dialect.Reserved, name)
--- a/internal/ingress/listener.go
+++ b/internal/ingress/listener.go
@@ -64,7 +64,7 @@
 
 // refusesEarly reports whether requests are to be checked, and may be refused, before the HTTP
 // server gets their connections.
-func (s *Server) refusesEarly() bool { return s.forwarder.Throttles() || s.conns.overloaded() }
+func (s *Server) refusesEarly() bool { return s.forwarder.Throttling() || s.conns.overloaded() }
 
 // accept accepts a connection. It returns nil if the connection was rejected.
 func (l listener) accept() (net.Conn, error) {
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -91,7 +91,7 @@
 	c.router.loop.post(func(s *control.State, now time.Time) { s.Retry(t, now) })
 }
 
-func (c controlLoop) Finish(t *request.Ticket, end request.End) {
+func (c controlLoop) Finish(t *request.Ticket, end request.RunEnd) {
 	c.router.loop.post(func(s *control.State, now time.Time) { s.Finish(t, end, now) })
 }
 
