--- a/internal/gateway/awake.go
+++ b/internal/gateway/awake.go
@@ -21,7 +21,7 @@
 // awake treats the router as one that was cut off: all that it believes is older by what the
 // box was suspended, connections may be gone, and keys may be taken away.
 func (g *Gateway) awake(_ *balance.State, now time.Time, missed time.Duration) {
-	g.Log.Info("box was suspended", "missed_ms", missed.Milliseconds(), "open", g.server.Open())
+	g.Log.Info("box was suspended", "missed_ms", missed.Milliseconds(), "open", g.server.OpenRequests())
 	g.Metrics.suspended(missed)
 	g.roster.Resume(now)
 	g.cold.Join(now)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -261,7 +261,7 @@
 // have not noticed yet, and returns when that is done or limit is over.
 func (g *Gateway) Drain(ctx context.Context, limit time.Duration) {
 	began := clock.Now()
-	g.Log.Info("planned stop begins", "open", g.server.Open(), "limit_ms", limit.Milliseconds())
+	g.Log.Info("planned stop begins", "open", g.server.OpenRequests(), "limit_ms", limit.Milliseconds())
 	g.server.Leave()
 	g.loop.Post(func(_ *balance.State, now time.Time) {
 		g.leaving = true
@@ -274,16 +274,16 @@
 	g.server.EndBy(end)
 	g.waitQuiet(ctx, end)
 	if err := g.server.Shutdown(ctx); err != nil {
-		g.Log.Info("planned stop cut requests short", "open", g.server.Open(), "cause", err.Error())
+		g.Log.Info("planned stop cut requests short", "open", g.server.OpenRequests(), "cause", err.Error())
 	}
 	g.Log.Info("planned stop is done", "took_ms", clock.Since(began).Milliseconds())
 }
 
 // waitQuiet waits until there have been no requests for a while, or until end.
 func (g *Gateway) waitQuiet(ctx context.Context, end time.Time) {
-	busy, last := clock.Now(), g.server.Begun()
+	busy, last := clock.Now(), g.server.TotalRequests()
 	for clock.Since(busy) < quietTime && clock.Now().Before(end) {
-		if begun := g.server.Begun(); g.server.Open() > 0 || begun > last {
+		if begun := g.server.TotalRequests(); g.server.OpenRequests() > 0 || begun > last {
 			busy, last = clock.Now(), begun
 		}
 		if !group.SleepUntil(ctx, clock.Now().Add(quietCheck)) {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -90,8 +90,8 @@
 	m.Set("peer_messages", func() any { return g.peers.Stats() })
 	m.Set("peer_datagrams", func() any { return g.datagrams.Stats() })
 	m.Set("processor_part", func() any { return g.loop.CPUUtilisation() })
-	m.Set("turned_away", func() any { return g.server.TurnedAway() })
-	m.Set("open_requests", func() any { return g.server.Open() })
+	m.Set("turned_away", func() any { return g.server.RejectedConnections() })
+	m.Set("open_requests", func() any { return g.server.OpenRequests() })
 }
 
 // CountRetry counts a retry by its reason.
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -57,8 +57,8 @@
 			s.SetTargets(now, []balance.Target{{ID: "t", Service: "desk", Zone: "z", Slots: callers}})
 		})
 		sender, observer := &countingSender{}, &countingObserver{}
-		f := forward.New(dialect, sender, loop, noSuspects{}, logr.Discard(), ignoringObserver{})
-		s := ingress.New(dialect, f, observer, ingress.Limits{Requests: callers, Connections: callers}, logr.Discard())
+		f := forward.New(headerNames, sender, loop, noSuspects{}, logr.Discard(), ignoringObserver{})
+		s := ingress.New(headerNames, f, observer, ingress.Limits{Requests: callers, Connections: callers}, logr.Discard())
 		s.Configure(table)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/ingress/headers.go
+++ b/internal/ingress/headers.go
@@ -26,20 +26,20 @@
 // applyHeaders sets the fields of a request that come from its headers.
 func (s *Server) applyHeaders(out *forward.Request, r *http.Request) error {
 	if out.ID == "" {
-		return errors.Errorf("header %s is missing", s.dialect.RequestID)
+		return errors.Errorf("header %s is missing", s.headerNames.RequestID)
 	}
 	timeout := defaultTimeout
-	if text := r.Header.Get(s.dialect.Deadline); text != "" {
+	if text := r.Header.Get(s.headerNames.Deadline); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
 		if err != nil || ms < 0 || ms > math.MaxInt32 {
-			return errors.Errorf("header %s is not a number of milliseconds: %q", s.dialect.Deadline, text)
+			return errors.Errorf("header %s is not a number of milliseconds: %q", s.headerNames.Deadline, text)
 		}
 		timeout = time.Duration(ms * float64(time.Millisecond))
 	}
 	out.Deadline = out.Arrived.Add(timeout)
-	out.LastEventID = r.Header.Get(s.dialect.LastEventID)
+	out.LastEventID = r.Header.Get(s.headerNames.LastEventID)
 	out.Header = s.forwardedHeaders(r.Header)
-	out.Parts = parsePromptParts(r.Header.Get(s.dialect.PromptParts))
+	out.Parts = parsePromptParts(r.Header.Get(s.headerNames.PromptParts))
 	return nil
 }
 
@@ -60,10 +60,10 @@
 // could make an engine reserve or move cache memory.
 func (s *Server) withheld(name string) bool {
 	switch name {
-	case s.dialect.RequestID, s.dialect.Deadline, s.dialect.LastEventID, "Authorization", "Expect":
+	case s.headerNames.RequestID, s.headerNames.Deadline, s.headerNames.LastEventID, "Authorization", "Expect":
 		return true
 	}
-	return slices.Contains(s.dialect.Reserved, name)
+	return slices.Contains(s.headerNames.Reserved, name)
 }
 
 // parseSizes parses "INPUT TOKENS,MAXIMUM OUTPUT TOKENS" and the expected number of output
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -59,15 +59,15 @@
 
 // Reasons for refusing a request before it reaches the forwarder.
 const (
-	ReasonBadRequest   forward.Reason = "bad-request"
-	ReasonNoRoute      forward.Reason = "no-route"
-	ReasonUnauthorized forward.Reason = "unknown-key"
-	ReasonTooLarge     forward.Reason = "body-too-large"
-	ReasonBodyTimeout  forward.Reason = "body-timeout"
-	ReasonNotReady     forward.Reason = "not-ready"
-	ReasonLeaving      forward.Reason = "router-leaving"
-	ReasonProcessFull  forward.Reason = "process-full"
-	ReasonCrowded      forward.Reason = forward.ReasonOrganisationQueueFull
+	ReasonBadRequest            forward.Reason = "bad-request"
+	ReasonNoRoute               forward.Reason = "no-route"
+	ReasonUnauthorized          forward.Reason = "unknown-key"
+	ReasonTooLarge              forward.Reason = "body-too-large"
+	ReasonBodyTimeout           forward.Reason = "body-timeout"
+	ReasonNotReady              forward.Reason = "not-ready"
+	ReasonLeaving               forward.Reason = "router-leaving"
+	ReasonProcessFull           forward.Reason = "process-full"
+	ReasonOrganisationQueueFull forward.Reason = forward.ReasonOrganisationQueueFull
 )
 
 const (
@@ -91,12 +91,12 @@
 
 // Server serves a router's callers. Use New to create one.
 type Server struct {
-	dialect   forward.HeaderNames
-	forwarder *forward.Forwarder
-	observer  Observer
-	log       logr.Logger
-	table     atomic.Pointer[routing.Table]
-	server    *http.Server
+	headerNames forward.HeaderNames
+	forwarder   *forward.Forwarder
+	observer    Observer
+	log         logr.Logger
+	table       atomic.Pointer[routing.Table]
+	server      *http.Server
 	// bodyBytes is the total size of the request bodies in memory.
 	bodyBytes  atomic.Int64
 	conns      *conns
@@ -126,7 +126,7 @@
 // New returns a server that refuses all requests until Configure is called.
 func New(d forward.HeaderNames, f *forward.Forwarder, o Observer, limits Limits, l logr.Logger) *Server {
 	s := &Server{
-		dialect: d, forwarder: f, observer: o, log: l,
+		headerNames: d, forwarder: f, observer: o, log: l,
 		conns: newConns(limits.Connections, f.ShortOfCPU), maxOpen: int64(limits.Requests),
 	}
 	s.server = &http.Server{
@@ -163,15 +163,15 @@
 	return s.table.Load() != nil && !s.closing.Load() && !s.paused.Load()
 }
 
-// Open returns the number of requests being served.
-func (s *Server) Open() int64 { return s.open.Load() }
+// OpenRequests returns the number of requests being served.
+func (s *Server) OpenRequests() int64 { return s.open.Load() }
 
-// TurnedAway returns the number of connections rejected since the start because they waited
-// too long for CPU time.
-func (s *Server) TurnedAway() int64 { return s.rejections.total.Load() }
+// RejectedConnections returns the number of connections rejected since the start because they
+// waited too long for CPU time.
+func (s *Server) RejectedConnections() int64 { return s.rejections.total.Load() }
 
-// Begun returns the number of requests that reached the HTTP server since the start.
-func (s *Server) Begun() int64 { return s.started.Load() }
+// TotalRequests returns the number of requests that reached the HTTP server since the start.
+func (s *Server) TotalRequests() int64 { return s.started.Load() }
 
 // Serve serves callers on l until Close.
 func (s *Server) Serve(l net.Listener) error {
@@ -238,7 +238,7 @@
 	}
 	h := w.Header()
 	if r.ID != "" {
-		h.Set(s.dialect.RequestID, r.ID)
+		h.Set(s.headerNames.RequestID, r.ID)
 	}
 	if v.RetryAfter > 0 {
 		h.Set("Retry-After", retryAfter(v.RetryAfter))
@@ -265,7 +265,7 @@
 // the request is refused.
 func (s *Server) prepare(w http.ResponseWriter, r *http.Request, arrived time.Time) (forward.Request, forward.Result) {
 	out := forward.Request{
-		ID: r.Header.Get(s.dialect.RequestID), Method: r.Method, URI: r.RequestURI, Host: r.Host, Arrived: arrived,
+		ID: r.Header.Get(s.headerNames.RequestID), Method: r.Method, URI: r.RequestURI, Host: r.Host, Arrived: arrived,
 	}
 	t := s.table.Load()
 	if t == nil || s.paused.Load() {
@@ -274,7 +274,7 @@
 	if v := s.identify(t, &out, r.Header.Get("Authorization")); v.Status != 0 {
 		return out, v
 	}
-	out.Input, out.Output = parseSizes(r.Header.Get(s.dialect.PromptSize), r.Header.Get(s.dialect.OutputHint))
+	out.Input, out.Output = parseSizes(r.Header.Get(s.headerNames.PromptSize), r.Header.Get(s.headerNames.OutputHint))
 	if reason := s.admit(out); reason != "" {
 		// The body stays unread, so the connection cannot be reused.
 		w.Header().Set("Connection", "close")
--- a/internal/ingress/listener.go
+++ b/internal/ingress/listener.go
@@ -146,7 +146,7 @@
 // are to be refused. It returns false, and has done nothing, if the HTTP server is to serve the
 // connection.
 func (s *Server) refuseComplete(c earlyConn, arrived []byte) bool {
-	h, size, ok := parseHead(arrived, &s.dialect)
+	h, size, ok := parseHead(arrived, &s.headerNames)
 	if !ok || h.bodyLength != len(arrived)-size || s.closing.Load() {
 		return false
 	}
--- a/internal/ingress/overdue_test.go
+++ b/internal/ingress/overdue_test.go
@@ -65,8 +65,8 @@
 			if short {
 				want, turned = 0, 2
 			}
-			if served.Load() != want || s.TurnedAway() != turned {
-				t.Errorf("%d served, %d rejected, want %d and %d", served.Load(), s.TurnedAway(), want, turned)
+			if served.Load() != want || s.RejectedConnections() != turned {
+				t.Errorf("%d served, %d rejected, want %d and %d", served.Load(), s.RejectedConnections(), want, turned)
 			}
 			if s.conns.unread.Enqueue(time.Now().Add(time.Hour), true) == nil {
 				t.Error("a closed connection still counts as waiting")
--- a/internal/ingress/quick.go
+++ b/internal/ingress/quick.go
@@ -26,7 +26,7 @@
 		return false, nil
 	}
 	arrived := clock.Now()
-	h, size, ok := parseHead(first, &s.dialect)
+	h, size, ok := parseHead(first, &s.headerNames)
 	if !ok {
 		return false, nil
 	}
@@ -57,7 +57,7 @@
 // readHead returns the request at the start of b, with its organisation if that is known, or
 // the zero request if b does not hold a complete head.
 func (s *Server) readHead(b []byte) forward.Request {
-	h, _, ok := parseHead(b, &s.dialect)
+	h, _, ok := parseHead(b, &s.headerNames)
 	if !ok {
 		return forward.Request{}
 	}
@@ -95,7 +95,7 @@
 	b := make([]byte, 0, 256)
 	b = append(b, "HTTP/1.1 503 Service Unavailable\r\n"...)
 	if id != "" {
-		b = append(b, s.dialect.RequestID+": "+id+"\r\n"...)
+		b = append(b, s.headerNames.RequestID+": "+id+"\r\n"...)
 	}
 	if last {
 		b = append(b, "Connection: close\r\n"...)
--- a/internal/ingress/quick_test.go
+++ b/internal/ingress/quick_test.go
@@ -31,7 +31,7 @@
 	RunSpecs(t, "ingress")
 }
 
-var dialect = forward.HeaderNames{RequestID: "X-Id", Deadline: "X-Wait-Ms", Organisation: "X-Organisation"}
+var headerNames = forward.HeaderNames{RequestID: "X-Id", Deadline: "X-Wait-Ms", Organisation: "X-Organisation"}
 
 // unreachableSender is a sender that cannot reach any target.
 type unreachableSender struct{}
@@ -101,8 +101,8 @@
 	for loop.Check("loud", throttle.RequestSize{}) == "" {
 		time.Sleep(time.Millisecond)
 	}
-	f := forward.New(dialect, unreachableSender{}, loop, noSuspects{}, logr.Discard(), ignoringObserver{})
-	s := ingress.New(dialect, f, ignoringObserver{}, ingress.Limits{Requests: 1000, Connections: maxConnections}, logr.Discard())
+	f := forward.New(headerNames, unreachableSender{}, loop, noSuspects{}, logr.Discard(), ignoringObserver{})
+	s := ingress.New(headerNames, f, ignoringObserver{}, ingress.Limits{Requests: 1000, Connections: maxConnections}, logr.Discard())
 	s.Configure(table)
 	g.Go(func() { _ = s.Serve(l) })
 	g.GoContext(func(ctx context.Context) {
@@ -155,7 +155,7 @@
 			id := fmt.Sprint("r", i)
 			res := ask(head("/engine/a?b", "k1", id, len(body), ""), body)
 			Expect(res.StatusCode).To(Equal(http.StatusServiceUnavailable))
-			Expect(res.Status).To(Equal(string(ingress.ReasonCrowded)))
+			Expect(res.Status).To(Equal(string(ingress.ReasonOrganisationQueueFull)))
 			Expect(res.Header.Get("X-Id")).To(Equal(id))
 			Expect(res.Header.Get("Retry-After")).NotTo(BeEmpty())
 			Expect(res.Close).To(BeFalse())
@@ -163,14 +163,14 @@
 		res := ask(head("/plain/a", "k1", "p", 3, ""), "abc")
 		Expect(res.Status).To(Equal(string(balance.NoTarget)))
 		res = ask(head("/engine/a", "k1", "q", 3, "")+"ab", "c")
-		Expect(res.Status).To(Equal(string(ingress.ReasonCrowded)))
+		Expect(res.Status).To(Equal(string(ingress.ReasonOrganisationQueueFull)))
 	})
 
 	DescribeTable(
 		"does not affect other requests",
 		func(request, status string) {
 			Expect(ask(request).Status).To(Equal(status))
-			Expect(ask(head("/engine/a", "k1", "q", 3, "") + "abc").Status).To(Equal(string(ingress.ReasonCrowded)))
+			Expect(ask(head("/engine/a", "k1", "q", 3, "") + "abc").Status).To(Equal(string(ingress.ReasonOrganisationQueueFull)))
 		},
 		Entry("another organisation", head("/engine/a", "k2", "r", 1, "")+"x", string(balance.NoTarget)),
 		Entry("another service", head("/plain/a", "k1", "r", 1, "")+"x", string(balance.NoTarget)),
@@ -181,12 +181,12 @@
 
 	It("is refused if its request has an unusual form", func() {
 		res := ask("POST /engine/a HTTP/1.1\r\nHost: h\r\nX-Id: r\r\nAuthorization: Bearer k1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
-		Expect(res.Status).To(Equal(string(ingress.ReasonCrowded)))
+		Expect(res.Status).To(Equal(string(ingress.ReasonOrganisationQueueFull)))
 	})
 
 	It("is refused when the head comes in pieces", func() {
 		h := head("/engine/a", "k1", "r", 3, "")
-		Expect(ask(h[:30], h[30:], "abc").Status).To(Equal(string(ingress.ReasonCrowded)))
+		Expect(ask(h[:30], h[30:], "abc").Status).To(Equal(string(ingress.ReasonOrganisationQueueFull)))
 	})
 
 	It("cannot smuggle a request with a second Content-Length", func() {
