--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -201,8 +201,8 @@
 	return observer{log: g.Log, full: g.LogFull, metrics: g.Metrics, tally: &g.tally}
 }
 
-// Ended implements ingress.Observer.
-func (o observer) Ended(r forward.Request, v forward.Result, took time.Duration) {
+// RequestEnded implements ingress.Observer.
+func (o observer) RequestEnded(r forward.Request, v forward.Result, took time.Duration) {
 	o.metrics.ended(v, took)
 	hidden := o.full != nil && o.full()
 	o.tally.add(r, v, hidden)
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -36,7 +36,7 @@
 	n atomic.Int64
 }
 
-func (c *countingObserver) Ended(forward.Request, forward.Result, time.Duration) { c.n.Add(1) }
+func (c *countingObserver) RequestEnded(forward.Request, forward.Result, time.Duration) { c.n.Add(1) }
 
 var _ = Describe("A caller that disconnected before its request was read", func() {
 	It("has no request forwarded", func() {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -86,7 +86,7 @@
 
 // Observer receives the result of each request, also of refused ones.
 type Observer interface {
-	Ended(r forward.Request, v forward.Result, took time.Duration)
+	RequestEnded(r forward.Request, v forward.Result, took time.Duration)
 }
 
 // Server serves a router's callers. Use New to create one.
@@ -229,7 +229,7 @@
 // finish reports a result to the observer and, unless the answer has been forwarded, writes it
 // to the caller. An answer that broke off part-way is aborted, so that the caller notices.
 func (s *Server) finish(w http.ResponseWriter, r forward.Request, v forward.Result, arrived time.Time) {
-	s.observer.Ended(r, v, clock.Since(arrived))
+	s.observer.RequestEnded(r, v, clock.Since(arrived))
 	if v.Truncated {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/ingress/listener.go
+++ b/internal/ingress/listener.go
@@ -181,7 +181,7 @@
 	}
 	// An error means that the caller has disconnected.
 	_ = c.Close()
-	s.observer.Ended(r, v, 0)
+	s.observer.RequestEnded(r, v, 0)
 }
 
 // rejectionCounter counts rejected connections. lastLogged is the Unix time, in seconds, at
--- a/internal/ingress/quick.go
+++ b/internal/ingress/quick.go
@@ -43,7 +43,7 @@
 	if _, err := c.Write(s.formatRefusal(r.ID, v, false)); err != nil {
 		return false, errors.Wrap(err, "write refusal")
 	}
-	s.observer.Ended(r, v, clock.Since(arrived))
+	s.observer.RequestEnded(r, v, clock.Since(arrived))
 	return true, errors.Wrap(c.SetReadDeadline(clock.Deadline(idleTimeout)), "wait for the next request")
 }
 
--- a/internal/ingress/quick_test.go
+++ b/internal/ingress/quick_test.go
@@ -52,9 +52,9 @@
 // ignoringObserver is an observer and forward.Counters that ignore all calls.
 type ignoringObserver struct{}
 
-func (ignoringObserver) Ended(forward.Request, forward.Result, time.Duration) {}
-func (ignoringObserver) CountRetry(forward.Reason)                            {}
-func (ignoringObserver) CountAdvice(forward.Advice)                           {}
+func (ignoringObserver) RequestEnded(forward.Request, forward.Result, time.Duration) {}
+func (ignoringObserver) CountRetry(forward.Reason)                                   {}
+func (ignoringObserver) CountAdvice(forward.Advice)                                  {}
 
 // maxConnections is the maximum number of connections of newServer's server.
 const maxConnections = 3
--- a/internal/ingress/told_test.go
+++ b/internal/ingress/told_test.go
@@ -34,7 +34,7 @@
 // rejectedOnly is an observer that expects only rejections of overdue connections.
 type rejectedOnly struct{ t *testing.T }
 
-func (o rejectedOnly) Ended(r forward.Request, v forward.Result, _ time.Duration) {
+func (o rejectedOnly) RequestEnded(r forward.Request, v forward.Result, _ time.Duration) {
 	if v.Reason != ReasonOverdue || v.Status != http.StatusServiceUnavailable {
 		o.t.Errorf("request %q: %+v", r.ID, v)
 	}
@@ -91,7 +91,7 @@
 // leavingOnly is an observer that expects only refusals because the router shuts down.
 type leavingOnly struct{ t *testing.T }
 
-func (o leavingOnly) Ended(r forward.Request, v forward.Result, _ time.Duration) {
+func (o leavingOnly) RequestEnded(r forward.Request, v forward.Result, _ time.Duration) {
 	if v.Reason != ReasonLeaving || r.ID != "1" {
 		o.t.Errorf("request %q: %+v", r.ID, v)
 	}
