--- a/internal/adapter/httpcaller/chat.go
+++ b/internal/adapter/httpcaller/chat.go
@@ -138,7 +138,7 @@
 			x.handler.Core.Cancel(x.ticket, reasonOf(x.job.ctx))
 			done = nil
 		case <-poll.C:
-			if httpserver.Gone(x.writer) {
+			if httpserver.CallerDisconnected(x.writer) {
 				x.job.cancel(errGone)
 			}
 		}
@@ -256,7 +256,7 @@
 		if err := x.sink.event(data, stream.More()); err != nil {
 			return err
 		}
-		if httpserver.Gone(x.writer) {
+		if httpserver.CallerDisconnected(x.writer) {
 			x.job.cancel(errGone)
 			return errGone
 		}
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -27,12 +27,12 @@
 	// maxUnsentBytes bounds the unsent bytes buffered for a caller that reads slowly; above it,
 	// the connection is closed.
 	maxUnsentBytes = 1 << 20
-	// defaultIdleTimeout is the default of Options.Idle.
+	// defaultIdleTimeout is the default of Options.IdleTimeout.
 	defaultIdleTimeout = 60 * time.Second
 	// spareConnectionsDivisor is the ratio of the maximum number of connections to the number
 	// that may be open beyond it, whose requests are answered with a Retry-After.
 	spareConnectionsDivisor = 4
-	// retryAfterSeconds is the Retry-After, in seconds, of the default Options.Full.
+	// retryAfterSeconds is the Retry-After, in seconds, of the default Options.RejectHandler.
 	retryAfterSeconds = "1"
 	// startDelay is how long New waits for the pollers to start: a poller that is stopped
 	// before it has started never ends. Since one may still start late, stopTimeout bounds how
@@ -60,15 +60,15 @@
 // Options holds a server's limits.
 type Options struct {
 	// MaxConnections is the maximum number of connections served at a time; 0 means no limit.
-	// Full answers requests on connections beyond it and should set Retry-After; nil means a
-	// plain 503 with a Retry-After.
+	// RejectHandler answers requests on connections beyond it and should set Retry-After; nil
+	// means a plain 503 with a Retry-After.
 	MaxConnections int
-	Full           http.Handler
+	RejectHandler  http.Handler
 	// Pollers is the number of goroutines that read from connections.
 	Pollers int
-	// Idle bounds how long a connection may stay open without a request, and how long a
-	// request may take to arrive; 0 means a minute.
-	Idle time.Duration
+	// IdleTimeout bounds how long a connection may stay open without a request, and how long
+	// a request may take to arrive; 0 means a minute.
+	IdleTimeout time.Duration
 }
 
 // New starts a server that listens on address and calls handler until Stop.
@@ -85,7 +85,7 @@
 		ReadLimit:          maxRequestBytes,
 		MaxHTTPBodySize:    maxRequestBytes,
 		MaxWriteBufferSize: maxUnsentBytes,
-		KeepaliveTime:      cmp.Or(o.Idle, defaultIdleTimeout),
+		KeepaliveTime:      cmp.Or(o.IdleTimeout, defaultIdleTimeout),
 		ServerExecutor:     s.group.Go,
 		Listen: func(network, address string) (net.Listener, error) {
 			l, err := net.Listen(network, address)
@@ -116,8 +116,8 @@
 
 // rejectHandler returns the handler of requests on connections beyond MaxConnections.
 func (o Options) rejectHandler() http.Handler {
-	if o.Full != nil {
-		return o.Full
+	if o.RejectHandler != nil {
+		return o.RejectHandler
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", retryAfterSeconds)
@@ -177,8 +177,8 @@
 	s.group.Stop()
 }
 
-// Gone reports whether the caller's connection, to which w writes, is closed.
-func Gone(w http.ResponseWriter) bool {
+// CallerDisconnected reports whether the caller's connection, to which w writes, is closed.
+func CallerDisconnected(w http.ResponseWriter) bool {
 	res, ok := w.(*nbhttp.Response)
 	if !ok || res.Parser == nil {
 		return false
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -19,14 +19,14 @@
 	RunSpecs(t, "httpserver")
 }
 
-var _ = Describe("Gone", func() {
+var _ = Describe("CallerDisconnected", func() {
 	It("reports to a handler that its caller has closed the connection", func() {
 		gone := make(chan bool, 1)
 		started := make(chan struct{})
 		handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			close(started)
 			for range 500 {
-				if httpserver.Gone(w) {
+				if httpserver.CallerDisconnected(w) {
 					gone <- true
 					return
 				}
@@ -54,7 +54,7 @@
 			_, _ = w.Write([]byte("done"))
 		})
 		server, err := httpserver.New("127.0.0.1:0", handler, httpserver.Options{
-			MaxConnections: 10, Pollers: 1, Idle: 100 * time.Millisecond,
+			MaxConnections: 10, Pollers: 1, IdleTimeout: 100 * time.Millisecond,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		defer server.Stop()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -149,7 +149,7 @@
 		return nil, errors.Wrapf(err, "listen for routers on %s", o.PeerListen)
 	}
 	r.callers, err = httpserver.New(o.Listen, &r.gate, httpserver.Options{
-		MaxConnections: o.MaxConnections, Full: http.HandlerFunc(r.rejectConnection), Pollers: o.Pollers,
+		MaxConnections: o.MaxConnections, RejectHandler: http.HandlerFunc(r.rejectConnection), Pollers: o.Pollers,
 	})
 	if err != nil {
 		listener.Close()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -260,7 +260,7 @@
 	for i := from; i < j.tokens; i++ {
 		next = next.Add(e.options.TokenTime)
 		time.Sleep(clock.Until(next))
-		if httpserver.Gone(w) {
+		if httpserver.CallerDisconnected(w) {
 			e.breakOff(id, j, i)
 			return
 		}
--- a/internal/standin/enginequeue.go
+++ b/internal/standin/enginequeue.go
@@ -66,7 +66,7 @@
 		case <-me.turn:
 			return true
 		case <-ticker.C:
-			if httpserver.Gone(w) && e.abandon(me) {
+			if httpserver.CallerDisconnected(w) && e.abandon(me) {
 				return false
 			}
 		}
