--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -157,7 +157,7 @@
 	if most == 0 {
 		return l, nil
 	}
-	if err := sockopt.Backlog(l.(*net.TCPListener), most); err != nil {
+	if err := sockopt.SetBacklog(l.(*net.TCPListener), most); err != nil {
 		o.Log.Info("connections that wait to be accepted are not bounded", "most", most, "cause", err.Error())
 	}
 	return l, nil
--- a/internal/httptarget/conn.go
+++ b/internal/httptarget/conn.go
@@ -27,7 +27,7 @@
 
 // quiet reports whether an unused connection is still open and has no unread bytes, which
 // would belong to no request.
-func (c *conn) quiet() bool { return c.reader.Buffered() == 0 && sockopt.Quiet(c.Conn) }
+func (c *conn) quiet() bool { return c.reader.Buffered() == 0 && sockopt.Idle(c.Conn) }
 
 // expired reports whether a connection has been unused for limit, or so long that the target
 // may be about to close it.
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -62,7 +62,7 @@
 func (s *conns) evictOldest() bool {
 	for s.idle.Len() > 0 {
 		c := s.idle.Front().Value.(*conn)
-		if !sockopt.Quiet(c.Conn) {
+		if !sockopt.Idle(c.Conn) {
 			s.idle.Remove(c.idleElement)
 			c.idleElement = nil
 			continue
@@ -163,7 +163,7 @@
 // whose callers had disconnected before they were read would still be forwarded.
 func callerDisconnected(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
-	return ok && sockopt.Ended(c.Conn)
+	return ok && sockopt.RemoteClosed(c.Conn)
 }
 
 // connState implements http.Server.ConnState: it marks connections idle when their request has
--- a/internal/sockopt/accept_test.go
+++ b/internal/sockopt/accept_test.go
@@ -113,7 +113,7 @@
 
 func TestBacklogLimitsPendingConnections(t *testing.T) {
 	l, _ := listening(t)
-	if err := sockopt.Backlog(l, 1); err != nil {
+	if err := sockopt.SetBacklog(l, 1); err != nil {
 		t.Fatal(err)
 	}
 	const callers = 8
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// Backlog sets the maximum number of connections in a TCP listener's accept queue. While it is
-// full, the kernel drops SYN packets.
-func Backlog(l *net.TCPListener, maxPending int) error {
+// SetBacklog sets the maximum number of connections in a TCP listener's accept queue. While the
+// queue is full, the kernel drops SYN packets.
+func SetBacklog(l *net.TCPListener, maxPending int) error {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return err
@@ -41,17 +41,17 @@
 	return callErr
 }
 
-// Quiet reports whether a TCP connection is open and has no unread input. Another goroutine may
+// Idle reports whether a TCP connection is open and has no unread input. Another goroutine may
 // be blocked in Read meanwhile. For connections that are not TCP it returns true.
-func Quiet(c net.Conn) bool {
+func Idle(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// Ended reports whether the remote side of a TCP connection has closed it and all input has been
-// read. Another goroutine may be blocked in Read meanwhile. For connections that are not TCP it
-// returns false.
-func Ended(c net.Conn) bool {
+// RemoteClosed reports whether the remote side of a TCP connection has closed it and all input
+// has been read. Another goroutine may be blocked in Read meanwhile. For connections that are
+// not TCP it returns false.
+func RemoteClosed(c net.Conn) bool {
 	n, err := peek(c)
 	return n <= 0 && !errors.Is(err, syscall.EAGAIN)
 }
--- a/internal/sockopt/sockopt_test.go
+++ b/internal/sockopt/sockopt_test.go
@@ -44,7 +44,7 @@
 	t.Fatal(what)
 }
 
-func TestQuiet(t *testing.T) {
+func TestIdle(t *testing.T) {
 	cases := map[string]func(other net.Conn) error{
 		"unread input": func(other net.Conn) error {
 			_, err := other.Write([]byte("x"))
@@ -55,24 +55,24 @@
 	for name, act := range cases {
 		t.Run(name, func(t *testing.T) {
 			a, b := pair(t)
-			if !sockopt.Quiet(a) {
-				t.Fatal("Quiet is false for a new connection")
+			if !sockopt.Idle(a) {
+				t.Fatal("Idle is false for a new connection")
 			}
 			if err := act(b); err != nil {
 				t.Fatal(err)
 			}
-			eventually(t, "Quiet is still true", func() bool { return !sockopt.Quiet(a) })
+			eventually(t, "Idle is still true", func() bool { return !sockopt.Idle(a) })
 		})
 	}
 }
 
-func TestQuietBesideReader(t *testing.T) {
+func TestIdleWithBlockedReader(t *testing.T) {
 	a, b := pair(t)
 	var wait sync.WaitGroup
 	wait.Go(func() { _, _ = a.Read(make([]byte, 1)) })
 	time.Sleep(20 * time.Millisecond)
-	if !sockopt.Quiet(a) {
-		t.Error("Quiet is false for a connection with a blocked reader")
+	if !sockopt.Idle(a) {
+		t.Error("Idle is false for a connection with a blocked reader")
 	}
 	if err := b.Close(); err != nil {
 		t.Error(err)
@@ -80,10 +80,10 @@
 	wait.Wait()
 }
 
-func TestEnded(t *testing.T) {
+func TestRemoteClosed(t *testing.T) {
 	a, b := pair(t)
-	if sockopt.Ended(b) {
-		t.Error("Ended is true for an open connection")
+	if sockopt.RemoteClosed(b) {
+		t.Error("RemoteClosed is true for an open connection")
 	}
 	if _, err := a.Write([]byte("xy")); err != nil {
 		t.Fatal(err)
@@ -93,11 +93,11 @@
 	if _, err := b.Read(one); err != nil {
 		t.Fatal(err)
 	}
-	if sockopt.Ended(b) {
-		t.Error("Ended is true for a connection with an unread byte")
+	if sockopt.RemoteClosed(b) {
+		t.Error("RemoteClosed is true for a connection with an unread byte")
 	}
 	if _, err := b.Read(one); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "Ended is still false after the remote side closed the connection", func() bool { return sockopt.Ended(b) })
+	eventually(t, "RemoteClosed is still false after the remote side closed the connection", func() bool { return sockopt.RemoteClosed(b) })
 }
