--- a/internal/cli/route.go
+++ b/internal/cli/route.go
@@ -42,7 +42,7 @@
 	defer client.Stop()
 	r, err := router.New(router.Options{
 		ID: set.ID, Zone: set.Zone, Listen: set.Listen, PeerListen: set.PeerListen, AdminListen: set.AdminListen,
-		Platform: client, ReportPeriod: time.Duration(set.ReportPeriod), Timeout: time.Duration(set.Timeout),
+		Platform: client, ReportPeriod: time.Duration(set.ReportPeriod), RouterTimeout: time.Duration(set.Timeout),
 		MaxWaiting: set.MaxWaiting, MaxConnections: set.MaxConnections, Log: log,
 	})
 	if err != nil {
--- a/internal/load/fault.go
+++ b/internal/load/fault.go
@@ -40,9 +40,9 @@
 				others[other.Self().Peer] = true
 			}
 		}
-		r.Cut(others)
+		r.BlockPeers(others)
 	case fault.Action == "cut":
-		r.Cut(nil)
+		r.BlockPeers(nil)
 	case fault.Action == "stop" && on:
 		f.stopped[i] = true
 		r.Stop()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -35,7 +35,7 @@
 // Defaults of Options.
 const (
 	DefaultReportPeriod   = 700 * time.Millisecond
-	DefaultTimeout        = 2100 * time.Millisecond
+	DefaultRouterTimeout  = 2100 * time.Millisecond
 	DefaultMaxWaiting     = 10000
 	DefaultMaxConnections = 10000
 	DefaultPollers        = 2
@@ -58,10 +58,15 @@
 	Listen     string
 	PeerListen string
 	// AdminListen is the address on which metrics are served; empty means none.
-	AdminListen    string
-	Platform       port.Platform
-	ReportPeriod   time.Duration
-	Timeout        time.Duration
+	AdminListen string
+	// Platform is the source of the configuration.
+	Platform port.Platform
+	// ReportPeriod is the time between two reports to the other routers, and RouterTimeout the
+	// time without a message after which another router counts as dead.
+	ReportPeriod  time.Duration
+	RouterTimeout time.Duration
+	// MaxWaiting bounds the requests queued at this router, and MaxConnections the callers'
+	// connections being served.
 	MaxWaiting     int
 	MaxConnections int
 	// Pollers is the number of goroutines that read callers' connections.
@@ -76,7 +81,7 @@
 
 func (o Options) withDefaults() Options {
 	o.ReportPeriod = orDefault(o.ReportPeriod, DefaultReportPeriod)
-	o.Timeout = orDefault(o.Timeout, DefaultTimeout)
+	o.RouterTimeout = orDefault(o.RouterTimeout, DefaultRouterTimeout)
 	o.MaxWaiting = orDefault(o.MaxWaiting, DefaultMaxWaiting)
 	o.MaxConnections = orDefault(o.MaxConnections, DefaultMaxConnections)
 	o.Pollers = orDefault(o.Pollers, DefaultPollers)
@@ -173,7 +178,7 @@
 	})
 	r.peers = peer.New(context.Background(), r.self, listener, r.receive, o.Log)
 	state := control.New(control.Options{
-		Self: r.self, ReportPeriod: o.ReportPeriod, RouterTimeout: o.Timeout, MaxWaiting: o.MaxWaiting, ViewDelay: o.ViewDelay, Policy: o.Policy,
+		Self: r.self, ReportPeriod: o.ReportPeriod, RouterTimeout: o.RouterTimeout, MaxWaiting: o.MaxWaiting, ViewDelay: o.ViewDelay, Policy: o.Policy,
 	}, delivery{r.peers}, random, clock.Now())
 	r.handler = httpcaller.New(httpcaller.Options{
 		Core: controlLoop{r}, Self: r.self, Engine: r.engines, Service: r.engines,
@@ -224,8 +229,9 @@
 // PeerStats returns the totals of what was sent to other routers.
 func (r *Router) PeerStats() peer.Stats { return r.peers.Stats() }
 
-// Cut makes the router drop messages from and to the given peer addresses, for experiments.
-func (r *Router) Cut(addresses map[string]bool) { r.peers.Cut(addresses) }
+// BlockPeers drops all messages from and to the given peer addresses, as a network partition
+// would; nil ends it. It is for experiments.
+func (r *Router) BlockPeers(addresses map[string]bool) { r.peers.Cut(addresses) }
 
 // Status returns a summary of the control state.
 func (r *Router) Status() control.Status {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -86,7 +86,7 @@
 	client := platform.New(s.platform.Address())
 	r, err := router.New(router.Options{
 		ID: id, Listen: loopback, PeerListen: loopback, Platform: client, Seed: 1, Log: logr.Discard(),
-		ReportPeriod: 100 * time.Millisecond, Timeout: time.Second,
+		ReportPeriod: 100 * time.Millisecond, RouterTimeout: time.Second,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	s.seed(config.KindBox, id, config.Box{
@@ -391,7 +391,7 @@
 		before.Stop()
 		r, err := router.New(router.Options{
 			ID: "r2", Listen: before.Address(), PeerListen: before.Self().Peer, Platform: client, Seed: 1,
-			Log: logr.Discard(), ReportPeriod: 100 * time.Millisecond, Timeout: time.Second,
+			Log: logr.Discard(), ReportPeriod: 100 * time.Millisecond, RouterTimeout: time.Second,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		s.routers[1] = r
