--- a/internal/adapter/engine/engine.go
+++ b/internal/adapter/engine/engine.go
@@ -98,8 +98,8 @@
 		HeaderRequestID: {completion.ID},
 		HeaderPriority:  {strconv.Itoa(completion.Priority)},
 	}
-	if completion.From > 0 {
-		header.Set(HeaderResumeFrom, strconv.Itoa(completion.From))
+	if completion.ResumeFrom > 0 {
+		header.Set(HeaderResumeFrom, strconv.Itoa(completion.ResumeFrom))
 	}
 	res, err := c.send(ctx, http.MethodPost, "http://"+address+PathCompletion, header, completion.Body)
 	if err != nil {
@@ -111,7 +111,7 @@
 		defer res.Body.Close()
 		return nil, errors.Wrapf(refusal(res), "complete at %s: status %d", address, res.StatusCode)
 	}
-	if completion.From > 0 && res.Header.Get(HeaderResumed) == "" {
+	if completion.ResumeFrom > 0 && res.Header.Get(HeaderResumed) == "" {
 		defer cancel()
 		defer res.Body.Close()
 		return nil, errors.Wrapf(port.ErrBroken, "complete at %s: engine does not resume", address)
@@ -171,18 +171,18 @@
 }
 
 // Call passes a request to a plain service.
-func (c *Client) Call(ctx context.Context, address string, call port.Call) (port.Answer, error) {
+func (c *Client) Call(ctx context.Context, address string, call port.Call) (port.Response, error) {
 	header := call.Header.Clone()
 	header.Set(HeaderRequestID, call.ID)
 	res, err := c.send(ctx, call.Method, "http://"+address+call.Path, header, call.Body)
 	if err != nil {
-		return port.Answer{}, errors.Wrapf(err, "call %s", address)
+		return port.Response{}, errors.Wrapf(err, "call %s", address)
 	}
 	if res.Header.Get(HeaderNotRun) != "" {
 		res.Body.Close()
-		return port.Answer{}, errors.Wrapf(port.ErrRefused, "call %s: status %d", address, res.StatusCode)
+		return port.Response{}, errors.Wrapf(port.ErrRefused, "call %s: status %d", address, res.StatusCode)
 	}
-	return port.Answer{Status: res.StatusCode, Header: res.Header, Body: res.Body}, nil
+	return port.Response{Status: res.StatusCode, Header: res.Header, Body: res.Body}, nil
 }
 
 // stream reads server-sent events.
@@ -210,7 +210,7 @@
 	}
 }
 
-func (s *stream) More() bool {
+func (s *stream) HasBuffered() bool {
 	waiting, err := s.reader.Peek(s.reader.Buffered())
 	return err == nil && bytes.Contains(waiting, eventEnd)
 }
--- a/internal/adapter/engine/engine_test.go
+++ b/internal/adapter/engine/engine_test.go
@@ -40,7 +40,7 @@
 	if system != "" {
 		messages = fmt.Sprintf(`{"content":%q},`, system) + messages
 	}
-	return port.Completion{ID: id, Body: []byte(`{"messages":[` + messages + `]}`), From: from}
+	return port.Completion{ID: id, Body: []byte(`{"messages":[` + messages + `]}`), ResumeFrom: from}
 }
 
 // drain reads a stream to its end and returns the number of events.
--- a/internal/adapter/httpcaller/chat.go
+++ b/internal/adapter/httpcaller/chat.go
@@ -174,7 +174,7 @@
 // passes on what comes.
 func (x *exchange) send(address string) error {
 	stream, err := x.handler.Engine.Complete(x.job.ctx, address, port.Completion{
-		ID: x.job.id.String(), Priority: x.engineRank, Body: x.body, From: x.events,
+		ID: x.job.id.String(), Priority: x.engineRank, Body: x.body, ResumeFrom: x.events,
 	})
 	if err != nil {
 		return err
@@ -253,7 +253,7 @@
 		}
 		x.events++
 		x.ticket.ServedCost.Add(1)
-		if err := x.sink.event(data, stream.More()); err != nil {
+		if err := x.sink.event(data, stream.HasBuffered()); err != nil {
 			return err
 		}
 		if httpserver.Gone(x.writer) {
--- a/internal/adapter/httpcaller/httpcaller.go
+++ b/internal/adapter/httpcaller/httpcaller.go
@@ -110,7 +110,7 @@
 		h.refuse(w, refusal{reason: request.ReasonUnknownKey, detail: "header Authorization: want Bearer and an API key"})
 		return
 	}
-	o, ok := h.Core.Snapshot().OrganisationOfKey(key)
+	o, ok := h.Core.Snapshot().OrganisationByKey(key)
 	if !ok {
 		h.refuse(w, refusal{reason: request.ReasonUnknownKey, detail: "header Authorization: no organisation has this API key"})
 		return
--- a/internal/adapter/httpcaller/service.go
+++ b/internal/adapter/httpcaller/service.go
@@ -180,7 +180,7 @@
 	return c.pass(answer, body.Bytes()), nil
 }
 
-func (c *serviceCall) pass(answer port.Answer, body []byte) request.Record {
+func (c *serviceCall) pass(answer port.Response, body []byte) request.Record {
 	contentType := answer.Header.Get("Content-Type")
 	for name, values := range passedOn(answer.Header) {
 		c.writer.Header()[name] = values
