--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,8 +8,8 @@
 	"github.com/stepcroft/stepcroft/internal/fair"
 )
 
-// Routers check each object again when it arrives, since an operator may
-// have written it with another tool than ours.
+// Routers validate each object again when they receive it, since an operator may have written
+// it without the CLI, which validates before writing.
 
 func checkOrganisation(o Organisation) error {
 	if o.Name == "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -30,7 +30,7 @@
 }
 
 var _ = Describe("Snapshot", func() {
-	It("holds the newest version of each object, whatever the order and number of times they come", func() {
+	It("holds the newest version of each object, in whatever order and however often versions arrive", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			g := NewWithT(t)
 			var s config.Snapshot
@@ -39,7 +39,7 @@
 				name := fmt.Sprintf("o%d", rapid.IntRange(0, 3).Draw(t, "name"))
 				version := rapid.Uint64Range(1, 9).Draw(t, "version")
 				var err error
-				s, err = s.With(object(config.KindOrganisation, name, version, config.Organisation{Name: name, Weight: float64(version)}))
+				s, err = s.WithObject(object(config.KindOrganisation, name, version, config.Organisation{Name: name, Weight: float64(version)}))
 				g.Expect(err).NotTo(HaveOccurred())
 				newest[name] = max(newest[name], version)
 				o, ok := s.Organisation(name)
@@ -49,11 +49,11 @@
 		})
 	})
 
-	It("is not changed by With", func() {
+	It("is not modified by WithObject", func() {
 		var empty config.Snapshot
-		one, err := empty.With(object(config.KindTemplate, "t", 1, config.Template{Name: "t", Weight: 2}))
+		one, err := empty.WithObject(object(config.KindTemplate, "t", 1, config.Template{Name: "t", Weight: 2}))
 		Expect(err).NotTo(HaveOccurred())
-		two, err := one.With(object(config.KindOrganisation, "o", 1, config.Organisation{Name: "o", Template: "t"}))
+		two, err := one.WithObject(object(config.KindOrganisation, "o", 1, config.Organisation{Name: "o", Template: "t"}))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(empty.Organisations()).To(BeEmpty())
 		Expect(one.Organisations()).To(BeEmpty())
@@ -62,15 +62,15 @@
 		Expect(o.Limits.Queue).To(Equal(config.DefaultQueue))
 	})
 
-	It("keeps the good object where a later one cannot be used", func() {
+	It("keeps the last valid version of an object when a newer one is invalid", func() {
 		var s config.Snapshot
-		s, err := s.With(object(config.KindPool, "p", 1, config.Pool{Name: "p", Policy: "share"}))
+		s, err := s.WithObject(object(config.KindPool, "p", 1, config.Pool{Name: "p", Policy: "share"}))
 		Expect(err).NotTo(HaveOccurred())
 		for _, bad := range []port.Object{
 			object(config.KindPool, "p", 2, config.Pool{Name: "p", Policy: "luck"}),
 			{Kind: config.KindPool, Name: "p", Version: 3, Spec: []byte(`{"name":`)},
 		} {
-			s, err = s.With(bad)
+			s, err = s.WithObject(bad)
 			Expect(errors.Is(err, config.ErrInvalid)).To(BeTrue())
 		}
 		p, ok := s.Pool("p")
@@ -78,15 +78,15 @@
 		Expect(p.Policy).To(Equal("share"))
 	})
 
-	It("finds organisations by key, and no longer once they are deleted", func() {
+	It("finds organisations by API key until they are deleted", func() {
 		var s config.Snapshot
-		s, _ = s.With(object(config.KindOrganisation, "o", 1, config.Organisation{Name: "o", Keys: []string{config.HashKey("k")}}))
-		o, ok := s.OrganisationOfKey("k")
+		s, _ = s.WithObject(object(config.KindOrganisation, "o", 1, config.Organisation{Name: "o", Keys: []string{config.HashKey("k")}}))
+		o, ok := s.OrganisationByKey("k")
 		Expect(ok).To(BeTrue())
 		Expect(o.Name).To(Equal("o"))
-		s, err := s.With(port.Object{Kind: config.KindOrganisation, Name: "o", Version: 2, Deleted: true})
+		s, err := s.WithObject(port.Object{Kind: config.KindOrganisation, Name: "o", Version: 2, Deleted: true})
 		Expect(err).NotTo(HaveOccurred())
-		_, ok = s.OrganisationOfKey("k")
+		_, ok = s.OrganisationByKey("k")
 		Expect(ok).To(BeFalse())
 	})
 })
