--- a/internal/configsync/configsync.go
+++ b/internal/configsync/configsync.go
@@ -1,11 +1,11 @@
-// Package configsync keeps a router's configuration equal to the platform's
-// objects. It applies each object's versions in order and never goes back to
-// an older one; while the platform is out, what is known stays in force.
+// Package configsync keeps a router's configuration in sync with the platform's objects. It
+// never replaces a version of an object by an older one. While the platform is unavailable, the
+// last known configuration stays in force.
 //
-// A few routers of each availability zone watch the platform and pass changes
-// on to the others there. A router that hears of a newer revision than its
-// own and does not get it asks whoever has it; so does one that starts while
-// the platform is out, or that meets an object it cannot use.
+// A few routers of each availability zone watch the platform and forward changes to the other
+// routers of the zone. A router requests the missing objects from a peer if the peer reports a
+// newer revision that does not arrive, if it starts while the platform is unavailable, or if it
+// received an invalid object and has no earlier version of it.
 package configsync
 
 import (
@@ -28,40 +28,41 @@
 )
 
 const (
-	// watchersPerZone is the number of routers of a zone that watch.
+	// watchersPerZone is the number of routers of a zone that watch the platform.
 	watchersPerZone = 2
-	// watchKey ranks the routers for watching.
+	// watchKey is the rendezvous hashing key by which a zone's watchers are selected.
 	watchKey = "configuration watch"
-	// watchWait is how long one watch waits for a change.
+	// watchWait is how long the platform holds one watch request open until a change.
 	watchWait = 20 * time.Second
-	// minRetry and maxRetry bound the pause after a failed call.
-	minRetry = 200 * time.Millisecond
-	maxRetry = 10 * time.Second
-	// behind is for how long a router that heard of a newer revision waits
-	// for it before it asks, and between two questions.
-	behind = time.Second
-	// check is how often roles are worked out.
-	check = 500 * time.Millisecond
-	// batch is the most objects in one message.
-	batch = 200
-	// mailbox is the number of events that may wait.
-	mailbox = 256
+	// minRetryDelay and maxRetryDelay bound the backoff after failed calls to the platform.
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 10 * time.Second
+	// catchUpDelay is how long a router that learned of a newer revision waits for it to arrive
+	// before it requests it from a peer, and the minimum interval between two such requests.
+	catchUpDelay = time.Second
+	// roleCheckInterval is how often a router decides whether it is a watcher.
+	roleCheckInterval = 500 * time.Millisecond
+	// maxObjectsPerMessage bounds the objects in one message to a peer.
+	maxObjectsPerMessage = 200
+	// eventQueueSize is the capacity of the syncer's event queue; further events are dropped.
+	eventQueueSize = 256
 )
 
-// Options are the parts a Syncer is made of.
+// Options are the dependencies of a Syncer.
 type Options struct {
 	Platform port.Platform
 	Self     member.Member
-	// Apply is called with each newer configuration.
+	// Apply is called with the configuration after each change.
 	Apply func(config.Snapshot)
-	// Live returns the routers alive, this one included.
+	// Live returns the routers that are alive, including this one.
 	Live func() []member.Member
 	// Send sends a message to another router.
 	Send func(to member.Member, m message.Message)
 	Log  logr.Logger
 }
 
-// Syncer follows the configuration. Use New to make one.
+// Syncer keeps the configuration in sync. Create one with New. A single goroutine, in Run, owns
+// the fields that are not atomic; other goroutines send it events.
 type Syncer struct {
 	options  Options
 	events   chan func(now time.Time)
@@ -70,31 +71,30 @@
 	applied  bool
 	watching atomic.Bool
 	revision atomic.Uint64
-	// heard is the newest revision heard of, and since when it is newer.
-	heard      uint64
-	heardSince time.Time
-	asked      time.Time
-	// lacking is set while an object is missing: the platform's version of it
-	// cannot be used, and this router holds no earlier one.
-	lacking  atomic.Bool
-	invalid  atomic.Int64
-	failures atomic.Int64
-	passedOn atomic.Int64
+	// announced is the newest revision that a peer has reported, first seen at announcedAt.
+	announced   uint64
+	announcedAt time.Time
+	lastWant    time.Time
+	// incomplete is set while an object is missing because its only known version is invalid.
+	incomplete atomic.Bool
+	invalid    atomic.Int64
+	failures   atomic.Int64
+	forwarded  atomic.Int64
 }
 
-// New returns a syncer.
+// New returns a syncer; Run starts it.
 func New(o Options) *Syncer {
-	s := &Syncer{options: o, events: make(chan func(time.Time), mailbox)}
+	s := &Syncer{options: o, events: make(chan func(time.Time), eventQueueSize)}
 	s.watching.Store(true)
 	return s
 }
 
-// Run follows changes until ctx ends.
+// Run applies changes until ctx is done.
 func (s *Syncer) Run(ctx context.Context) {
 	g := group.New(ctx)
 	defer g.Stop()
 	g.GoContext(s.watch)
-	ticker := time.NewTicker(check)
+	ticker := time.NewTicker(roleCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -103,59 +103,59 @@
 		case e := <-s.events:
 			e(clock.Now())
 		case now := <-ticker.C:
-			s.assume(now)
+			s.updateRole(now)
 		}
 	}
 }
 
-// do queues an event; when too many wait it is dropped, since what is heard
-// once is heard again.
-func (s *Syncer) do(e func(now time.Time)) {
+// enqueue queues an event for Run. If the queue is full it drops the event: peers repeat their
+// reports, so a missed revision is noticed again.
+func (s *Syncer) enqueue(e func(now time.Time)) {
 	select {
 	case s.events <- e:
 	default:
 	}
 }
 
-// Receive takes in a message from another router.
+// Receive handles a message from another router. It may be called from any goroutine.
 func (s *Syncer) Receive(from member.Member, m message.Message) {
 	switch m := m.(type) {
 	case message.Objects:
-		s.do(func(time.Time) { s.objects(m) })
+		s.enqueue(func(time.Time) { s.receiveObjects(m) })
 	case message.Want:
-		s.do(func(time.Time) { s.answer(from, m.Since) })
+		s.enqueue(func(time.Time) { s.sendSince(from, m.Since) })
 	case message.Report:
-		if m.Revision > s.revision.Load() || s.lacking.Load() {
-			s.do(func(now time.Time) { s.hear(from, m.Revision, now) })
+		if m.Revision > s.revision.Load() || s.incomplete.Load() {
+			s.enqueue(func(now time.Time) { s.noteRevision(from, m.Revision, now) })
 		}
 	}
 }
 
-// assume works out whether this router watches. It does while it has no
-// configuration, and while it is the only one it knows of.
-func (s *Syncer) assume(time.Time) {
+// updateRole decides whether this router watches the platform. It also does while it has no
+// configuration yet and while it knows no routers in its zone.
+func (s *Syncer) updateRole(time.Time) {
 	watchers := member.TopInZone(watchersPerZone, watchKey, s.options.Self.Zone, s.options.Live())
-	s.watching.Store(!s.applied || len(watchers) == 0 || has(watchers, s.options.Self.ID))
+	s.watching.Store(!s.applied || len(watchers) == 0 || containsRouter(watchers, s.options.Self.ID))
 }
 
-func has(members []member.Member, id message.RouterID) bool {
+func containsRouter(members []member.Member, id message.RouterID) bool {
 	return slices.ContainsFunc(members, func(m member.Member) bool { return m.ID == id })
 }
 
-// watch calls the platform while it is this router's turn.
+// watch long-polls the platform for changes while this router is a watcher.
 func (s *Syncer) watch(ctx context.Context) {
-	pause := minRetry
+	delay := minRetryDelay
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
 		if !s.watching.Load() {
-			s.sleep(ctx, check)
+			s.sleep(ctx, roleCheckInterval)
 			continue
 		}
 		since := s.revision.Load()
 		changes, err := s.options.Platform.Changes(ctx, since, wait)
 		if err == nil {
-			s.took(ctx, since, changes)
-			pause, wait = minRetry, watchWait
+			s.submit(ctx, since, changes)
+			delay, wait = minRetryDelay, watchWait
 			continue
 		}
 		if ctx.Err() != nil {
@@ -163,21 +163,21 @@
 		}
 		s.failures.Add(1)
 		s.options.Log.V(1).Info("platform does not answer", "cause", err.Error())
-		s.sleep(ctx, pause)
-		pause = min(2*pause, maxRetry)
+		s.sleep(ctx, delay)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// took hands changes to the syncer's goroutine and waits for it, so that the
-// next watch begins after them.
-func (s *Syncer) took(ctx context.Context, since uint64, changes port.Changes) {
+// submit passes changes to the goroutine of Run and waits until they are applied, so that the
+// next watch request starts from the new revision.
+func (s *Syncer) submit(ctx context.Context, since uint64, changes port.Changes) {
 	done := make(chan struct{})
 	select {
 	case <-ctx.Done():
 		return
 	case s.events <- func(time.Time) {
-		s.take(since, changes)
-		s.passOn(since, changes)
+		s.apply(since, changes)
+		s.forward(since, changes)
 		close(done)
 	}:
 	}
@@ -187,8 +187,8 @@
 	}
 }
 
-// sleep pauses for between half of d and d, so that routers that lost the
-// platform together do not come back to it together.
+// sleep waits for a random time between d/2 and d, so that routers that lost the platform at the
+// same time do not all retry at the same time.
 func (s *Syncer) sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d/2 + rand.N(d/2))
 	defer timer.Stop()
@@ -198,15 +198,16 @@
 	}
 }
 
-// take applies objects that are complete from revision since on.
-func (s *Syncer) take(since uint64, changes port.Changes) {
-	s.lacking.Store(false)
-	next := s.snapshot.WithAll(changes.Objects, func(o port.Object, err error) {
+// apply applies changes that are complete for the revisions after since. The snapshot's revision
+// advances only if there is no gap between it and since.
+func (s *Syncer) apply(since uint64, changes port.Changes) {
+	s.incomplete.Store(false)
+	next := s.snapshot.WithObjects(changes.Objects, func(o port.Object, err error) {
 		s.invalid.Add(1)
-		if !s.snapshot.Has(o.Kind, o.Name) {
-			s.lacking.Store(true)
+		if !s.snapshot.HasObject(o.Kind, o.Name) {
+			s.incomplete.Store(true)
 		}
-		s.options.Log.Error(err, "object left out; the last good one stays in force")
+		s.options.Log.Error(err, "invalid object ignored; its last valid version stays in force")
 	})
 	if since <= next.Revision {
 		next = next.WithRevision(changes.Revision)
@@ -218,26 +219,27 @@
 	s.options.Apply(next)
 }
 
-// passOn sends changes to the routers of the zone that do not watch.
-func (s *Syncer) passOn(since uint64, changes port.Changes) {
+// forward sends changes to the routers of the zone that do not watch.
+func (s *Syncer) forward(since uint64, changes port.Changes) {
 	if len(changes.Objects) == 0 || since == 0 {
 		return
 	}
 	live := s.options.Live()
 	watchers := member.TopInZone(watchersPerZone, watchKey, s.options.Self.Zone, live)
 	for _, m := range live {
-		if m.ID == s.options.Self.ID || m.Zone != s.options.Self.Zone || has(watchers, m.ID) {
+		if m.ID == s.options.Self.ID || m.Zone != s.options.Self.Zone || containsRouter(watchers, m.ID) {
 			continue
 		}
-		s.passedOn.Add(1)
-		s.send(m, since, s.snapshot.Since(since))
+		s.forwarded.Add(1)
+		s.send(m, since, s.snapshot.ObjectsSince(since))
 	}
 }
 
-// send sends objects in batches; only the last one completes the revision.
+// send sends objects in batches. Only the last batch carries the new revision, so that the
+// receiver does not take an incomplete set for complete.
 func (s *Syncer) send(to member.Member, since uint64, objects []port.Object) {
 	for {
-		n := min(len(objects), batch)
+		n := min(len(objects), maxObjectsPerMessage)
 		m := message.Objects{Since: since, Revision: s.snapshot.Revision}
 		for _, o := range objects[:n] {
 			if body, err := json.Marshal(o); err == nil {
@@ -255,8 +257,8 @@
 	}
 }
 
-// objects takes in what another router sent.
-func (s *Syncer) objects(m message.Objects) {
+// receiveObjects applies objects from another router.
+func (s *Syncer) receiveObjects(m message.Objects) {
 	changes := port.Changes{Revision: m.Revision}
 	for _, body := range m.Objects {
 		var o port.Object
@@ -266,53 +268,54 @@
 		}
 		changes.Objects = append(changes.Objects, o)
 	}
-	s.take(m.Since, changes)
+	s.apply(m.Since, changes)
 }
 
-func (s *Syncer) answer(to member.Member, since uint64) {
+// sendSince answers a peer's request for the objects after a revision.
+func (s *Syncer) sendSince(to member.Member, since uint64) {
 	if s.applied {
-		s.send(to, since, s.snapshot.Since(since))
+		s.send(to, since, s.snapshot.ObjectsSince(since))
 	}
 }
 
-// hear notes that another router has a newer revision, and asks it after a
-// while. A router without a configuration, or lacking a part of it, asks at once
-// and for everything.
-func (s *Syncer) hear(from member.Member, revision uint64, now time.Time) {
-	all := !s.applied || s.lacking.Load()
-	if !all && revision <= s.snapshot.Revision {
+// noteRevision records the revision that a peer reported, and requests the missing objects from
+// it if they have not arrived within catchUpDelay. A router without a configuration, or with an
+// incomplete one, requests all objects immediately.
+func (s *Syncer) noteRevision(from member.Member, revision uint64, now time.Time) {
+	wantAll := !s.applied || s.incomplete.Load()
+	if !wantAll && revision <= s.snapshot.Revision {
 		return
 	}
-	if revision > s.heard {
-		s.heard, s.heardSince = revision, now
+	if revision > s.announced {
+		s.announced, s.announcedAt = revision, now
 	}
-	if now.Sub(s.asked) < behind || !all && now.Sub(s.heardSince) < behind {
+	if now.Sub(s.lastWant) < catchUpDelay || !wantAll && now.Sub(s.announcedAt) < catchUpDelay {
 		return
 	}
-	s.asked = now
+	s.lastWant = now
 	since := s.snapshot.Revision
-	if all {
+	if wantAll {
 		since = 0
 	}
 	s.options.Send(from, message.Want{Since: since})
 }
 
-// Stats are running totals.
+// Stats are counters since the start, and the router's current role.
 type Stats struct {
-	// Invalid is the number of objects left out because they were invalid.
+	// Invalid is the number of objects ignored because they were invalid.
 	Invalid int64 `json:"invalid"`
-	// Failures is the number of calls that the platform did not answer.
+	// Failures is the number of calls to the platform that failed.
 	Failures int64 `json:"failures"`
-	// PassedOn is the number of times changes were sent to another router.
-	PassedOn int64 `json:"passed_on"`
-	// Watching is set while this router watches the platform.
+	// Forwarded is the number of times changes were forwarded to another router.
+	Forwarded int64 `json:"passed_on"`
+	// Watching is true while this router watches the platform.
 	Watching bool `json:"watching"`
 }
 
-// Stats returns the totals since the start.
+// Stats returns the counters since the start.
 func (s *Syncer) Stats() Stats {
 	return Stats{
 		Invalid: s.invalid.Load(), Failures: s.failures.Load(),
-		PassedOn: s.passedOn.Load(), Watching: s.watching.Load(),
+		Forwarded: s.forwarded.Load(), Watching: s.watching.Load(),
 	}
 }
--- a/internal/configsync/configsync_test.go
+++ b/internal/configsync/configsync_test.go
@@ -25,22 +25,22 @@
 	RunSpecs(t, "configsync")
 }
 
-// outage is a platform that never answers.
-type outage struct{}
+// unavailablePlatform is a platform on which every call fails.
+type unavailablePlatform struct{}
 
-func (outage) Changes(context.Context, uint64, time.Duration) (port.Changes, error) {
+func (unavailablePlatform) Changes(context.Context, uint64, time.Duration) (port.Changes, error) {
 	return port.Changes{}, port.ErrUnavailable
 }
 
-func (outage) Object(context.Context, string, string) (port.Object, error) {
+func (unavailablePlatform) Object(context.Context, string, string) (port.Object, error) {
 	return port.Object{}, port.ErrUnavailable
 }
 
-func (outage) Put(context.Context, port.Object) (port.Object, error) {
+func (unavailablePlatform) Put(context.Context, port.Object) (port.Object, error) {
 	return port.Object{}, port.ErrUnavailable
 }
 
-func objects(since, revision, version uint64, weight float64) message.Objects {
+func objectsMessage(since, revision, version uint64, weight float64) message.Objects {
 	spec, err := json.Marshal(config.Organisation{Name: "water", Weight: weight})
 	Expect(err).NotTo(HaveOccurred())
 	body, err := json.Marshal(port.Object{
@@ -62,7 +62,7 @@
 	BeforeEach(func() {
 		applied, sent = make(chan config.Snapshot, 9), make(chan message.Message, 9)
 		syncer = configsync.New(configsync.Options{
-			Platform: outage{}, Self: self, Log: logr.Discard(),
+			Platform: unavailablePlatform{}, Self: self, Log: logr.Discard(),
 			Apply: func(s config.Snapshot) { applied <- s },
 			Live:  func() []member.Member { return []member.Member{self, peer} },
 			Send:  func(_ member.Member, m message.Message) { sent <- m },
@@ -78,25 +78,25 @@
 		return s
 	}
 
-	It("takes a revision as complete only from changes that begin where it stands, and never goes back", func() {
-		syncer.Receive(peer, objects(5, 9, 2, 4))
+	It("advances its revision only for changes without a gap before them, and never goes back", func() {
+		syncer.Receive(peer, objectsMessage(5, 9, 2, 4))
 		s := next()
 		o, _ := s.Organisation("water")
 		Expect(o.Weight).To(BeNumerically("==", 4))
 		Expect(s.Revision).To(BeZero())
-		syncer.Receive(peer, objects(0, 9, 2, 4))
+		syncer.Receive(peer, objectsMessage(0, 9, 2, 4))
 		Expect(next().Revision).To(BeNumerically("==", 9))
-		syncer.Receive(peer, objects(0, 7, 1, 3))
+		syncer.Receive(peer, objectsMessage(0, 7, 1, 3))
 		s = next()
 		o, _ = s.Organisation("water")
 		Expect(o.Weight).To(BeNumerically("==", 4))
 		Expect(s.Revision).To(BeNumerically("==", 9))
 	})
 
-	It("asks for everything while it has nothing, and answers who is behind", func() {
+	It("requests all objects while it has no configuration, and sends objects to a peer that requests them", func() {
 		syncer.Receive(peer, message.Report{Revision: 9})
 		Eventually(sent, "10s").Should(Receive(Equal(message.Want{})))
-		syncer.Receive(peer, objects(0, 9, 2, 4))
+		syncer.Receive(peer, objectsMessage(0, 9, 2, 4))
 		next()
 		syncer.Receive(peer, message.Want{Since: 3})
 		var m message.Message
