--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -61,7 +61,7 @@
 		add(config.KindBox, name, config.Box{Name: name, Role: config.RoleRouter, Zone: fmt.Sprint(i % 11), Address: name, Peer: name})
 	}
 	now := time.Unix(1000, 0)
-	snapshot := config.Snapshot{}.WithAll(objects, func(_ port.Object, err error) { b.Fatal(err) })
+	snapshot := config.Snapshot{}.WithObjects(objects, func(_ port.Object, err error) { b.Fatal(err) })
 	s := control.New(control.Options{
 		Self: member.Member{ID: "r0", Zone: "0", Peer: "r0", Incarnation: 1}, ReportPeriod: time.Second, RouterTimeout: time.Hour, MaxWaiting: 1 << 20,
 	}, discard{}, rand.New(rand.NewPCG(1, 1)), now)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -99,7 +99,7 @@
 func (f *fleet) put(kind, name string, spec any) {
 	body, err := json.Marshal(spec)
 	Expect(err).NotTo(HaveOccurred())
-	f.snapshot, err = f.snapshot.With(port.Object{
+	f.snapshot, err = f.snapshot.WithObject(port.Object{
 		Kind: kind, Name: name, Version: 1, Revision: f.snapshot.Revision + 1, Spec: body,
 	})
 	Expect(err).NotTo(HaveOccurred())
