--- a/internal/adapter/engine/control.go
+++ b/internal/adapter/engine/control.go
@@ -13,10 +13,11 @@
 	"github.com/stepcroft/stepcroft/internal/port"
 )
 
-// maxKV bounds an exported KV cache, in bytes.
-const maxKV = 64 << 20
+// maxControlBody bounds the body of a response to a control call, in bytes. The largest is an
+// exported KV cache.
+const maxControlBody = 64 << 20
 
-// CacheEvents returns an engine's cache events after a sequence number.
+// CacheEvents returns an engine's cache events after sequence number since.
 func (c *Client) CacheEvents(ctx context.Context, address string, since uint64) ([]port.CacheEvent, error) {
 	path := PathCacheEvents + "?since=" + strconv.FormatUint(since, 10)
 	body, err := c.control(ctx, http.MethodGet, address, path, nil)
@@ -27,28 +28,28 @@
 	return events, errors.Wrapf(json.Unmarshal(body, &events), "cache events of %s", address)
 }
 
-// Order gives an engine an order.
+// Order sends an order to an engine.
 func (c *Client) Order(ctx context.Context, address string, o port.Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
-		return errors.Wrap(err, "write order")
+		return errors.Wrap(err, "encode order")
 	}
 	_, err = c.control(ctx, http.MethodPost, address, PathOrders, body)
 	return err
 }
 
-// ExportKV returns the KV cache of a request whose answer broke off.
+// ExportKV returns the KV cache of the request with this id, whose response ended early.
 func (c *Client) ExportKV(ctx context.Context, address, id string) ([]byte, error) {
 	return c.control(ctx, http.MethodGet, address, PathKV+url.PathEscape(id), nil)
 }
 
-// ImportKV gives an engine the KV cache of a request.
+// ImportKV hands an engine the KV cache of a request that another engine exported.
 func (c *Client) ImportKV(ctx context.Context, address, id string, data []byte) error {
 	_, err := c.control(ctx, http.MethodPut, address, PathKV+url.PathEscape(id), data)
 	return err
 }
 
-// control makes a call that is not a completion, and reads its answer whole.
+// control makes a call other than a completion and returns the whole body of the response.
 func (c *Client) control(ctx context.Context, method, address, path string, body []byte) ([]byte, error) {
 	res, err := c.send(ctx, method, "http://"+address+path, http.Header{}, body)
 	if err != nil {
@@ -64,6 +65,6 @@
 	default:
 		return nil, errors.Wrapf(port.ErrBroken, "%s %s at %s: status %d", method, path, address, res.StatusCode)
 	}
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxKV))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxControlBody))
 	return data, errors.Wrapf(err, "%s %s at %s", method, path, address)
 }
--- a/internal/adapter/engine/engine.go
+++ b/internal/adapter/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine talks to model engines and plain services over HTTP. It
-// uses the standard library's client: nbhttp's hands over an answer only
-// when it is whole, and tokens must pass as they come.
+// Package engine is the HTTP client for model engines and plain services. It uses the standard
+// library's client: that of nbhttp delivers only complete responses, but tokens must be
+// streamed as they are generated.
 package engine
 
 import (
@@ -25,11 +25,10 @@
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderPriority  = "X-Priority"
-	// HeaderNotRun is set by a target on an answer to a request that it did
-	// not run.
+	// HeaderNotRun is set by a target on a response to a request that it did not run.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderResumeFrom asks an engine to continue an answer that broke off
-	// after so many events; the engine confirms with HeaderResumed.
+	// HeaderResumeFrom asks an engine to continue a response that ended early; its value is the
+	// number of events already received. The engine confirms with HeaderResumed.
 	HeaderResumeFrom = "X-Resume-From"
 	HeaderResumed    = "X-Resumed"
 	PathCompletion   = "/v1/chat/completions"
@@ -41,17 +40,16 @@
 
 const (
 	dialTimeout = time.Second
-	// lineBuffer is the size of a stream's read buffer, in bytes; one event
-	// must fit into it.
-	lineBuffer = 4 << 10
-	// maxIdle and maxIdleOne bound the unused connections kept, to all targets
-	// and to one of them. A router meets every engine of a large fleet, but
-	// each of them seldom.
-	maxIdle    = 1024
-	maxIdleOne = 256
-	// idleTimeout is for how long an unused connection is kept.
+	// streamBufferSize is the size of a stream's read buffer in bytes. An event that does not
+	// fit into it breaks the stream.
+	streamBufferSize = 4 << 10
+	// maxIdleConns and maxIdleConnsPerTarget bound the idle connections kept. In a large fleet a
+	// router sends requests to every engine, but rarely to the same one.
+	maxIdleConns          = 1024
+	maxIdleConnsPerTarget = 256
+	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 5 * time.Second
-	// maxLoadBody bounds a load report, in bytes.
+	// maxLoadBody bounds the body of a load report, in bytes.
 	maxLoadBody = 64 << 10
 )
 
@@ -61,36 +59,35 @@
 	eventEnd   = []byte("\n\n")
 )
 
-// Client talks to targets. Use New to make one; it is safe for use by many
-// goroutines.
+// Client sends requests to targets. Create one with New. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
 
-// New returns a client with connections of its own.
+// New returns a client with its own connection pool.
 func New() *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConns:        maxIdle,
-		MaxIdleConnsPerHost: maxIdleOne,
+		MaxIdleConns:        maxIdleConns,
+		MaxIdleConnsPerHost: maxIdleConnsPerTarget,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
-		ReadBufferSize:      lineBuffer,
-		WriteBufferSize:     lineBuffer,
+		ReadBufferSize:      streamBufferSize,
+		WriteBufferSize:     streamBufferSize,
 	}
-	return &Client{http: &http.Client{Transport: transport, CheckRedirect: notFollowed}}
+	return &Client{http: &http.Client{Transport: transport, CheckRedirect: dontFollowRedirects}}
 }
 
-// notFollowed hands redirects to the caller: where a request goes is not for a
-// target to say.
-func notFollowed(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// dontFollowRedirects makes the client return a redirect as the response, which goes to the
+// caller: a target must not decide where the router sends a request.
+func dontFollowRedirects(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Stop closes the unused connections.
+// Stop closes the idle connections.
 func (c *Client) Stop() { c.http.CloseIdleConnections() }
 
-// Complete sends a chat request to an engine. An error wraps ErrNotSent or
-// ErrRefused where the engine certainly did not run it.
+// Complete sends a chat completion request to an engine. The error wraps ErrNotSent or
+// ErrRefused if the engine certainly did not run the request, and ErrBroken otherwise.
 func (c *Client) Complete(ctx context.Context, address string, completion port.Completion) (port.Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	header := http.Header{
@@ -109,31 +106,32 @@
 	if res.StatusCode != http.StatusOK {
 		defer cancel()
 		defer res.Body.Close()
-		return nil, errors.Wrapf(refusal(res), "complete at %s: status %d", address, res.StatusCode)
+		return nil, errors.Wrapf(statusError(res), "complete at %s: status %d", address, res.StatusCode)
 	}
 	if completion.ResumeFrom > 0 && res.Header.Get(HeaderResumed) == "" {
 		defer cancel()
 		defer res.Body.Close()
 		return nil, errors.Wrapf(port.ErrBroken, "complete at %s: engine does not resume", address)
 	}
-	return &stream{body: res.Body, reader: bufio.NewReaderSize(res.Body, lineBuffer), cancel: cancel}, nil
+	return &stream{body: res.Body, reader: bufio.NewReaderSize(res.Body, streamBufferSize), cancel: cancel}, nil
 }
 
-func refusal(res *http.Response) error {
+// statusError returns the error for a response with an unexpected status.
+func statusError(res *http.Response) error {
 	if res.Header.Get(HeaderNotRun) != "" {
 		return port.ErrRefused
 	}
 	return port.ErrBroken
 }
 
-// send sends a request and tells a target that was not reached from one
-// whose answer was lost.
+// send sends a request. Its error wraps ErrNotSent if no byte of the request was written, and
+// ErrBroken if the response was lost after that.
 func (c *Client) send(ctx context.Context, method, url string, header http.Header, body []byte) (*http.Response, error) {
-	var begun atomic.Bool
+	var headerWritten atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		WroteHeaderField: func(string, []string) { begun.Store(true) },
+		WroteHeaderField: func(string, []string) { headerWritten.Store(true) },
 	})
-	req, err := http.NewRequestWithContext(ctx, method, url, once{bytes.NewReader(body)})
+	req, err := http.NewRequestWithContext(ctx, method, url, unrewindableBody{bytes.NewReader(body)})
 	if err != nil {
 		return nil, errors.Wrap(port.ErrNotSent, err.Error())
 	}
@@ -143,19 +141,18 @@
 	if err == nil {
 		return res, nil
 	}
-	if !begun.Load() {
+	if !headerWritten.Load() {
 		return nil, errors.Wrap(port.ErrNotSent, err.Error())
 	}
 	return nil, errors.Wrap(port.ErrBroken, err.Error())
 }
 
-// once is a body that the standard client cannot rewind. It sends a request
-// again by itself, where an answer is lost on a connection used before, if the
-// method or a header of the caller's says that it may and the body can be
-// rewound; whether a request is sent again is for the router alone to say.
-type once struct{ io.Reader }
+// unrewindableBody hides the type of a request body so that net/http cannot rewind it. Otherwise
+// net/http retries a request whose response is lost on a reused connection by itself if its
+// method or an Idempotency-Key header allows that. Only the router may decide about retries.
+type unrewindableBody struct{ io.Reader }
 
-// Load asks an engine for its load.
+// Load returns the load that an engine reports.
 func (c *Client) Load(ctx context.Context, address string) (port.EngineLoad, error) {
 	var load port.EngineLoad
 	res, err := c.send(ctx, http.MethodGet, "http://"+address+PathLoad, http.Header{}, nil)
@@ -170,7 +167,7 @@
 	return load, errors.Wrapf(err, "load of %s", address)
 }
 
-// Call passes a request to a plain service.
+// Call sends a request to a plain service. Its errors are those of Complete.
 func (c *Client) Call(ctx context.Context, address string, call port.Call) (port.Response, error) {
 	header := call.Header.Clone()
 	header.Set(HeaderRequestID, call.ID)
@@ -185,7 +182,7 @@
 	return port.Response{Status: res.StatusCode, Header: res.Header, Body: res.Body}, nil
 }
 
-// stream reads server-sent events.
+// stream implements port.Stream by reading server-sent events.
 type stream struct {
 	body   io.ReadCloser
 	reader *bufio.Reader
@@ -211,8 +208,8 @@
 }
 
 func (s *stream) HasBuffered() bool {
-	waiting, err := s.reader.Peek(s.reader.Buffered())
-	return err == nil && bytes.Contains(waiting, eventEnd)
+	buffered, err := s.reader.Peek(s.reader.Buffered())
+	return err == nil && bytes.Contains(buffered, eventEnd)
 }
 
 func (s *stream) Close() {
--- a/internal/adapter/engine/engine_test.go
+++ b/internal/adapter/engine/engine_test.go
@@ -27,7 +27,7 @@
 	RunSpecs(t, "engine")
 }
 
-func start(o standin.EngineOptions) *standin.Engine {
+func startEngine(o standin.EngineOptions) *standin.Engine {
 	o.Address, o.Slots, o.TokenTime = "127.0.0.1:0", 4, time.Millisecond
 	e, err := standin.NewEngine(o)
 	Expect(err).NotTo(HaveOccurred())
@@ -43,7 +43,7 @@
 	return port.Completion{ID: id, Body: []byte(`{"messages":[` + messages + `]}`), ResumeFrom: from}
 }
 
-// drain reads a stream to its end and returns the number of events.
+// drain reads a stream to its end and returns the number of events received.
 func drain(s port.Stream) (int, error) {
 	defer s.Close()
 	for n := 0; ; n++ {
@@ -68,10 +68,10 @@
 		DeferCleanup(client.Stop)
 	})
 
-	It("tells a target that was not reached from one that refused and one that broke off", func() {
+	It("distinguishes an unreachable engine from one that refuses and one that breaks off", func() {
 		_, err := client.Complete(ctx, "127.0.0.1:1", completion("a", "", "x", 0))
 		Expect(errors.Is(err, port.ErrNotSent)).To(BeTrue())
-		e := start(standin.EngineOptions{})
+		e := startEngine(standin.EngineOptions{})
 		e.SetFaults(standin.Faults{Refuse: true})
 		_, err = client.Complete(ctx, e.Address(), completion("a", "", "x", 0))
 		Expect(errors.Is(err, port.ErrRefused)).To(BeTrue())
@@ -86,8 +86,8 @@
 		Expect(errors.Is(err, port.ErrBroken)).To(BeTrue())
 	})
 
-	It("moves a broken answer to another engine with its KV cache", func() {
-		a, b := start(standin.EngineOptions{}), start(standin.EngineOptions{})
+	It("continues a response that broke off on another engine with its KV cache", func() {
+		a, b := startEngine(standin.EngineOptions{}), startEngine(standin.EngineOptions{})
 		a.SetFaults(standin.Faults{BreakAfter: 2})
 		prompt := standin.Prompt("t", 1, 5)
 		s, err := client.Complete(ctx, a.Address(), completion("moved", "", prompt, 0))
@@ -102,14 +102,14 @@
 		Expect(err).NotTo(HaveOccurred())
 		rest, err := drain(s)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(got + rest).To(Equal(5 + 1)) // the last event carries the usage
+		Expect(got + rest).To(Equal(5 + 1)) // the last event contains the usage
 		_, err = client.ExportKV(ctx, a.Address(), "other")
 		Expect(errors.Is(err, port.ErrNotFound)).To(BeTrue())
 	})
 
-	It("has orders of an old epoch refused by engines that check, and only by those", func() {
+	It("reports an order with an old epoch as fenced only if the engine checks epochs", func() {
 		for _, checks := range []bool{true, false} {
-			e := start(standin.EngineOptions{ChecksEpoch: checks})
+			e := startEngine(standin.EngineOptions{ChecksEpoch: checks})
 			Expect(client.Order(ctx, e.Address(), port.Order{Epoch: 2, Kind: port.OrderLoadModel, Name: "m", Version: "1"})).To(Succeed())
 			err := client.Order(ctx, e.Address(), port.Order{Epoch: 1, Kind: port.OrderLoadModel, Name: "old"})
 			Expect(errors.Is(err, port.ErrFenced)).To(Equal(checks))
@@ -117,17 +117,17 @@
 		}
 	})
 
-	It("reads cache events, late and with gaps, from a cache of bounded size", func() {
-		e := start(standin.EngineOptions{CacheTokens: 10})
-		ask := func(system string) {
+	It("reads cache events that are delayed or missing, from a cache of limited size", func() {
+		e := startEngine(standin.EngineOptions{CacheTokens: 10})
+		complete := func(system string) {
 			s, err := client.Complete(ctx, e.Address(), completion("c", system, standin.Prompt("t", 1, 1), 0))
 			Expect(err).NotTo(HaveOccurred())
 			_, err = drain(s)
 			Expect(err).NotTo(HaveOccurred())
 		}
-		ask("first system prompt")
-		ask("second system prompt")
-		ask("second system prompt")
+		complete("first system prompt")
+		complete("second system prompt")
+		complete("second system prompt")
 		events, err := client.CacheEvents(ctx, e.Address(), 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(events).To(HaveLen(3))
@@ -144,9 +144,10 @@
 	})
 })
 
-// hangUp answers the first request on each connection, and closes the
-// connection after reading a second one. It returns the requests that it read.
-func hangUp() (address string, read *atomic.Int64) {
+// hangUpServer answers the first request on each connection and closes the connection without
+// an answer after it has read the second one. It returns its address and a counter of the
+// requests read.
+func hangUpServer() (address string, read *atomic.Int64) {
 	read = new(atomic.Int64)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -184,7 +185,7 @@
 }
 
 var _ = Describe("A redirect", func() {
-	It("goes back to the caller, and is not followed", func() {
+	It("is returned to the caller and not followed", func() {
 		target := httptest.NewServer(http.RedirectHandler("http://127.0.0.1:1/elsewhere", http.StatusFound))
 		DeferCleanup(target.Close)
 		client := engine.New()
@@ -197,15 +198,15 @@
 	})
 })
 
-var _ = Describe("A call whose answer is lost on a connection used before", func() {
+var _ = Describe("A call whose response is lost on a reused connection", func() {
 	for name, call := range map[string]port.Call{
 		"GET":                      {ID: "a", Method: http.MethodGet, Path: "/", Header: http.Header{}},
 		"POST with a caller's key": {ID: "a", Method: http.MethodPost, Path: "/", Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte("five soles")},
 	} {
-		It("is not sent again behind the router's back: "+name, func() {
+		It("is not retried by net/http: "+name, func() {
 			client := engine.New()
 			DeferCleanup(client.Stop)
-			address, read := hangUp()
+			address, read := hangUpServer()
 			first, err := client.Call(context.Background(), address, call)
 			Expect(err).NotTo(HaveOccurred())
 			_, _ = io.ReadAll(first.Body)
--- a/internal/adapter/platform/platform.go
+++ b/internal/adapter/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform talks to the platform's object API over HTTP. The
-// protocol is described in docs/PLATFORM.md.
+// Package platform is the HTTP client of the platform's object API. docs/PLATFORM.md describes
+// the protocol.
 package platform
 
 import (
@@ -19,23 +19,23 @@
 )
 
 const (
-	// slack is added to the time a watch may wait before it is given up.
-	slack = 3 * time.Second
-	// callTimeout bounds calls that do not wait.
+	// watchGrace is added to a watch's wait time to get its timeout, since the platform responds
+	// only after that time if nothing changes.
+	watchGrace = 3 * time.Second
+	// callTimeout bounds all other calls.
 	callTimeout = 3 * time.Second
-	// maxBody bounds an answer, in bytes.
+	// maxBody bounds the body of a response, in bytes.
 	maxBody = 64 << 20
 )
 
-// Client calls the object API. Use New to make one; it is safe for use by
-// many goroutines.
+// Client calls the object API. Create one with New. It is safe for concurrent use.
 type Client struct {
 	base  string
 	http  *http.Client
 	calls atomic.Int64
 }
 
-// New returns a client of the object API at an address, host and port.
+// New returns a client of the object API at address, given as host:port.
 func New(address string) *Client {
 	return &Client{base: "http://" + address, http: &http.Client{Transport: &http.Transport{}}}
 }
@@ -43,23 +43,24 @@
 // Calls returns the number of calls made since the start.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
-// Stop closes the unused connections.
+// Stop closes the idle connections.
 func (c *Client) Stop() { c.http.CloseIdleConnections() }
 
-// Changes returns the objects changed after revision since.
+// Changes returns the objects changed after revision since, waiting up to wait if there are
+// none.
 func (c *Client) Changes(ctx context.Context, since uint64, wait time.Duration) (port.Changes, error) {
 	query := url.Values{
 		"since": {strconv.FormatUint(since, 10)},
 		"wait":  {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+slack)
+	ctx, cancel := context.WithTimeout(ctx, wait+watchGrace)
 	defer cancel()
 	var out port.Changes
 	err := c.call(ctx, http.MethodGet, "/v1/changes?"+query.Encode(), nil, &out)
 	return out, errors.Wrapf(err, "changes since revision %d", since)
 }
 
-// Object returns one object.
+// Object returns the current version of one object.
 func (c *Client) Object(ctx context.Context, kind, name string) (port.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -68,8 +69,8 @@
 	return out, errors.Wrapf(err, "read %s %q", kind, name)
 }
 
-// Put writes an object if its stored version is still o.Version. Where the
-// answer is lost, it reads back to find out whether the write took effect.
+// Put writes an object if its stored version still equals o.Version. If the response is lost, it
+// reads the object back to learn whether the write took effect.
 func (c *Client) Put(ctx context.Context, o port.Object) (port.Object, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -77,20 +78,20 @@
 	}
 	stored, err := c.put(ctx, o, body)
 	if errors.Is(err, port.ErrUnavailable) || errors.Is(err, port.ErrConflict) {
-		if held, readErr := c.Object(ctx, o.Kind, o.Name); readErr == nil {
-			return settle(o, held, err)
+		if current, readErr := c.Object(ctx, o.Kind, o.Name); readErr == nil {
+			return resolvePut(o, current, err)
 		}
 	}
 	return stored, errors.Wrapf(err, "write %s %q", o.Kind, o.Name)
 }
 
-// settle tells from what is stored whether a write took effect whose answer
-// was lost, or whose first try met its own second one as a conflict.
-func settle(o, held port.Object, err error) (port.Object, error) {
-	if o.Operation != "" && held.Operation == o.Operation {
-		return held, nil
+// resolvePut decides from the stored object whether a failed write of o took effect after all:
+// either its response was lost, or it conflicted with an earlier attempt of the same write.
+func resolvePut(o, current port.Object, err error) (port.Object, error) {
+	if o.Operation != "" && current.Operation == o.Operation {
+		return current, nil
 	}
-	return held, errors.Wrapf(err, "write %s %q over version %d, stored is %d", o.Kind, o.Name, o.Version, held.Version)
+	return current, errors.Wrapf(err, "write %s %q over version %d, stored is %d", o.Kind, o.Name, o.Version, current.Version)
 }
 
 func (c *Client) put(ctx context.Context, o port.Object, body []byte) (port.Object, error) {
@@ -109,7 +110,7 @@
 	c.calls.Add(1)
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "make request")
+		return errors.Wrap(err, "create request")
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
@@ -122,7 +123,7 @@
 	}
 	switch res.StatusCode {
 	case http.StatusOK:
-		return errors.Wrap(json.Unmarshal(data, out), "read answer")
+		return errors.Wrap(json.Unmarshal(data, out), "decode response")
 	case http.StatusConflict:
 		return port.ErrConflict
 	case http.StatusNotFound:
