--- a/internal/adapter/peer/convert.go
+++ b/internal/adapter/peer/convert.go
@@ -6,7 +6,7 @@
 	"github.com/stepcroft/stepcroft/internal/message"
 )
 
-// encode returns the wire form of m.
+// encode returns the protobuf form of m, or nil if its type is unknown.
 func encode(m message.Message) *peerpb.Envelope {
 	switch m := m.(type) {
 	case message.Report:
@@ -81,7 +81,8 @@
 	return out
 }
 
-// decode returns the message in e, or nil if there is none that is known.
+// decode returns the message in e, sent by router from. It returns nil if e holds no message, a
+// malformed one, or one of an unknown type.
 func decode(e *peerpb.Envelope, from member.Member) message.Message {
 	switch b := e.GetBody().(type) {
 	case *peerpb.Envelope_Report:
@@ -139,6 +140,7 @@
 	return nil
 }
 
+// decodeReport returns nil if the parallel lists of a pool's organisations differ in length.
 func decodeReport(r *peerpb.Report, incarnation uint64) message.Message {
 	out := message.Report{
 		Incarnation: incarnation, Sequence: r.GetSequence(), Leaving: r.GetLeaving(), Revision: r.GetRevision(),
--- a/internal/adapter/peer/datagram.go
+++ b/internal/adapter/peer/datagram.go
@@ -16,38 +16,38 @@
 	"github.com/stepcroft/stepcroft/internal/message"
 )
 
-// maxDatagram is the most bytes in a datagram: what an Ethernet frame carries
-// without being cut up, less the headers of IP and UDP.
+// maxDatagram is the maximum size of a datagram in bytes: an Ethernet frame's 1500 less the
+// headers of IPv4 and UDP, so that IP doesn't fragment it.
 const maxDatagram = 1472
 
-// errTooLarge means that a message does not fit into a datagram.
+// errTooLarge means that an encoded message is larger than maxDatagram.
 var errTooLarge = errors.New("message is too large for a datagram")
 
-// listenTries is how often Listen looks for a port that is free both for
-// connections and for datagrams.
-const listenTries = 16
+// maxListenTries is how many ports Listen tries to find one that is free for both TCP and UDP.
+const maxListenTries = 16
 
-// Listen listens for streams and for datagrams at one address; its port may be 0.
+// Listen listens on the same address and port for TCP connections and for UDP datagrams. The
+// port may be 0, for any that is free for both.
 func Listen(address string) (net.Listener, *net.UDPConn, error) {
-	var last error
-	for range listenTries {
+	var lastErr error
+	for range maxListenTries {
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			return nil, nil, errors.Wrap(err, "listen for streams")
 		}
-		at := l.Addr().(*net.TCPAddr)
-		conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: at.IP, Port: at.Port})
+		tcpAddr := l.Addr().(*net.TCPAddr)
+		conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: tcpAddr.IP, Port: tcpAddr.Port})
 		if err == nil {
 			return l, conn, nil
 		}
-		last = errors.Wrap(err, "listen for datagrams")
+		lastErr = errors.Wrap(err, "listen for datagrams")
 		_ = l.Close()
 	}
-	return nil, nil, last
+	return nil, nil, lastErr
 }
 
-// Datagrams sends and receives messages that may be lost, without a connection to
-// each other router. Use NewDatagrams to make one.
+// Datagrams sends and receives small messages over UDP, without delivery guarantee and without
+// a connection to each peer. Create one with NewDatagrams.
 type Datagrams struct {
 	self    member.Member
 	conn    *net.UDPConn
@@ -58,15 +58,17 @@
 	sent, bytes, received, dropped atomic.Int64
 }
 
-// NewDatagrams starts to receive on conn.
+// NewDatagrams returns a Datagrams that uses conn, and starts receiving. It calls receive with
+// each message, from a single goroutine.
 func NewDatagrams(ctx context.Context, self member.Member, conn *net.UDPConn, receive Receiver, log logr.Logger) *Datagrams {
 	d := &Datagrams{self: self, conn: conn, receive: receive, log: log, group: group.New(ctx)}
-	d.group.Go(d.read)
+	d.group.Go(d.readLoop)
 	return d
 }
 
-// Send sends a message to another router's Peer address. It returns false if the
-// message is too large; one that could not be sent otherwise counts as lost.
+// Send sends a message to the Peer address of another router. It returns false if the message is
+// too large for a datagram. All other failures only count as dropped, like a datagram lost on
+// the way.
 func (d *Datagrams) Send(to member.Member, m message.Message) bool {
 	err := d.send(to.Peer, m)
 	if errors.Is(err, errTooLarge) {
@@ -82,30 +84,30 @@
 func (d *Datagrams) send(address string, m message.Message) error {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return errors.Wrap(err, "router's address")
+		return errors.Wrap(err, "parse address of router")
 	}
 	e := encode(m)
 	if _, ok := m.(message.Ping); !ok {
 		e.Sender, e.SenderPeer = string(d.self.ID), d.self.Peer
 	}
-	b, err := proto.Marshal(e)
+	data, err := proto.Marshal(e)
 	if err != nil {
 		return errors.Wrap(err, "encode datagram")
 	}
-	if len(b) > maxDatagram {
+	if len(data) > maxDatagram {
 		return errTooLarge
 	}
-	if _, err := d.conn.WriteToUDPAddrPort(b, to); err != nil {
+	if _, err := d.conn.WriteToUDPAddrPort(data, to); err != nil {
 		return errors.Wrapf(err, "send datagram to %s", address)
 	}
 	d.sent.Add(1)
-	d.bytes.Add(int64(len(b)))
+	d.bytes.Add(int64(len(data)))
 	return nil
 }
 
-// read takes in datagrams until the connection is closed. Errors of single
-// datagrams, such as a port that nobody listens on, end nothing.
-func (d *Datagrams) read() {
+// readLoop receives datagrams until the connection is closed. It continues after errors of
+// single datagrams, such as an ICMP report that a peer's port is closed.
+func (d *Datagrams) readLoop() {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, _, err := d.conn.ReadFromUDPAddrPort(buffer)
@@ -117,13 +119,15 @@
 			d.log.V(1).Info("datagram not received", "cause", err.Error())
 			continue
 		}
-		d.take(buffer[:n])
+		d.handle(buffer[:n])
 	}
 }
 
-func (d *Datagrams) take(b []byte) {
+// handle decodes a datagram and passes its message to the receiver. It drops datagrams that do
+// not name their sender: there would be no address to respond to.
+func (d *Datagrams) handle(data []byte) {
 	e := new(peerpb.Envelope)
-	if err := proto.Unmarshal(b, e); err != nil {
+	if err := proto.Unmarshal(data, e); err != nil {
 		d.dropped.Add(1)
 		d.log.V(1).Info("datagram ignored", "cause", err.Error())
 		return
@@ -141,7 +145,8 @@
 	d.receive(from, m)
 }
 
-// DatagramStats are running totals of datagrams.
+// DatagramStats are counters of datagrams since the start. Bytes counts those sent, without
+// the headers of IP and UDP.
 type DatagramStats struct {
 	Sent     int64 `json:"sent"`
 	Bytes    int64 `json:"bytes"`
@@ -149,15 +154,15 @@
 	Dropped  int64 `json:"dropped"`
 }
 
-// Stats returns the totals since the start.
+// Stats returns the counters.
 func (d *Datagrams) Stats() DatagramStats {
 	return DatagramStats{Sent: d.sent.Load(), Bytes: d.bytes.Load(), Received: d.received.Load(), Dropped: d.dropped.Load()}
 }
 
-// Stop closes the connection and waits for its goroutine.
+// Stop closes the connection and waits for the receiving goroutine.
 func (d *Datagrams) Stop() {
 	if err := d.conn.Close(); err != nil {
-		d.log.Error(err, "datagrams not closed")
+		d.log.Error(err, "failed to close the datagram socket")
 	}
 	d.group.Stop()
 }
--- a/internal/adapter/peer/peer.go
+++ b/internal/adapter/peer/peer.go
@@ -1,8 +1,7 @@
-// Package peer carries messages between routers: over gRPC, a stream from each
-// router to each other that it has something to tell, in order, dialled when the
-// first message is sent and closed when there have been none for a while; and, for
-// small ones that may be lost, as datagrams. A message that cannot be sent is
-// dropped and counted, never kept.
+// Package peer transports messages between routers. Transport sends them in order over one gRPC
+// stream per receiving router, which it opens for the first message and closes when it has been
+// idle. Datagrams sends small messages that may be lost over UDP. Both drop and count a message
+// that cannot be sent; neither retries it.
 package peer
 
 import (
@@ -26,38 +25,38 @@
 )
 
 const (
-	// backlog is the number of messages kept for a router that is slow.
-	backlog = 1024
-	// redial is the pause after a stream has failed.
-	redial = 200 * time.Millisecond
-	// maxMessage bounds one message, in bytes.
-	maxMessage = 1 << 20
-	// window is the flow control window, in bytes. A fixed one above gRPC's
-	// default turns off its probing for bandwidth, which costs a ping and
-	// its answer for most messages.
-	window = 1 << 18
-	// buffer is the size of a stream's buffers for reading and writing, in
-	// bytes, of which a router in a large fleet has hundreds: reports are
-	// smaller, and what is larger takes some more calls.
-	buffer = 4 << 10
-	// dialTimeout and unackedTimeout bound the time to connect and the time
-	// without an acknowledgement: a router behind a partition is dialled anew
-	// at once when it ends, where TCP alone would wait for its next
-	// retransmission.
+	// linkQueueSize is the number of messages queued for one router; further ones are dropped.
+	linkQueueSize = 1024
+	// redialDelay is the delay before a failed stream is opened again.
+	redialDelay = 200 * time.Millisecond
+	// maxMessageSize bounds one received message, in bytes.
+	maxMessageSize = 1 << 20
+	// flowControlWindow is the fixed window of streams and connections, in bytes. A window above
+	// gRPC's default disables its estimation of the bandwidth-delay product, which costs a ping
+	// and its acknowledgement for most messages.
+	flowControlWindow = 1 << 18
+	// connBufferSize is the size of a connection's read buffer and of its write buffer, in bytes.
+	// It is small since a router of a large fleet has hundreds of them. Reports fit; larger
+	// messages only take more system calls.
+	connBufferSize = 4 << 10
+	// dialTimeout bounds the time to connect, unackedTimeout the time that sent data may stay
+	// unacknowledged (TCP_USER_TIMEOUT). Both make a stream recover soon after a partition ends,
+	// whereas TCP alone would wait for its next retransmission.
 	dialTimeout    = time.Second
 	unackedTimeout = time.Second
-	// idleTime is after how long without messages a stream is closed: one takes
-	// some 85 KB at both ends together.
-	idleTime = 10 * time.Second
+	// idleTimeout is the time without messages after which a stream is closed: an open stream
+	// takes about 85 KB of memory, both ends together. A stream is closed after one to two times
+	// this time.
+	idleTimeout = 10 * time.Second
 )
 
-// errIdle means that a stream has carried nothing for a while.
+// errIdle means that a stream was closed because it was idle.
 var errIdle = errors.New("stream is idle")
 
-// Receiver is called with each message that comes in.
+// Receiver is called with each received message and the router that sent it.
 type Receiver func(from member.Member, m message.Message)
 
-// Transport is one router's end of all its streams. Use New to make one.
+// Transport holds all streams from and to one router. Create one with New.
 type Transport struct {
 	peerpb.UnimplementedPeerServer
 
@@ -74,16 +73,17 @@
 	sent    atomic.Int64
 	bytes   atomic.Int64
 	dropped atomic.Int64
-	cut     atomic.Pointer[map[string]bool]
+	cutOff  atomic.Pointer[map[string]bool]
 }
 
-// link is the stream to one other router.
+// link is the stream to one other router, with the queue of messages to send on it.
 type link struct {
 	address string
 	queue   chan *peerpb.Envelope
 }
 
-// New starts to serve on listener and returns the transport.
+// New returns a transport and starts serving on listener. receive may be called from several
+// goroutines, one for each router that sends.
 func New(ctx context.Context, self member.Member, listener net.Listener, receive Receiver, log logr.Logger) *Transport {
 	t := &Transport{
 		self:     self,
@@ -93,32 +93,32 @@
 		listener: listener,
 		links:    map[string]*link{},
 		server: grpc.NewServer(
-			grpc.MaxRecvMsgSize(maxMessage), grpc.InitialWindowSize(window), grpc.InitialConnWindowSize(window),
-			grpc.ReadBufferSize(buffer), grpc.WriteBufferSize(buffer), grpc.SharedWriteBuffer(true),
+			grpc.MaxRecvMsgSize(maxMessageSize), grpc.InitialWindowSize(flowControlWindow), grpc.InitialConnWindowSize(flowControlWindow),
+			grpc.ReadBufferSize(connBufferSize), grpc.WriteBufferSize(connBufferSize), grpc.SharedWriteBuffer(true),
 		),
 	}
 	peerpb.RegisterPeerServer(t.server, t)
 	t.group.Go(func() {
 		if err := t.server.Serve(&countingListener{listener, &t.bytes}); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
-			log.Error(err, "peer server ended")
+			log.Error(err, "gRPC server for peers failed")
 		}
 	})
 	return t
 }
 
-// Send queues a message for another router. It does not block.
+// Send queues a message for another router. It never blocks.
 func (t *Transport) Send(to member.Member, m message.Message) { t.send(to, encode(m)) }
 
-// SendAll queues a message for other routers, which costs less than one Send for
-// each.
+// SendAll queues a message for several routers. It encodes the message only once, so it costs
+// less than a Send for each.
 func (t *Transport) SendAll(to []member.Member, m message.Message) {
 	e := encode(m)
-	for _, other := range to {
-		t.send(other, e)
+	for _, router := range to {
+		t.send(router, e)
 	}
 }
 
-// send queues an envelope, which nobody may change afterwards.
+// send queues an envelope, which must not be modified afterwards: other queues may share it.
 func (t *Transport) send(to member.Member, e *peerpb.Envelope) {
 	if to.Peer == "" {
 		t.dropped.Add(1)
@@ -133,36 +133,37 @@
 	}
 }
 
-// link returns the link to an address; t.mu is locked.
+// link returns the link to an address, and creates it if there is none. t.mu must be held.
 func (t *Transport) link(address string) *link {
 	l := t.links[address]
 	if l == nil {
-		l = &link{address: address, queue: make(chan *peerpb.Envelope, backlog)}
+		l = &link{address: address, queue: make(chan *peerpb.Envelope, linkQueueSize)}
 		t.links[address] = l
-		t.group.GoContext(func(ctx context.Context) { t.run(ctx, l) })
+		t.group.GoContext(func(ctx context.Context) { t.runLink(ctx, l) })
 	}
 	return l
 }
 
-// run keeps a stream to another router, dialling again when it fails.
-func (t *Transport) run(ctx context.Context, l *link) {
+// runLink keeps a stream to another router open, and opens it again after failures. It returns
+// when the stream has been idle.
+func (t *Transport) runLink(ctx context.Context, l *link) {
 	for ctx.Err() == nil {
-		err := t.stream(ctx, l)
+		err := t.runStream(ctx, l)
 		if ctx.Err() != nil || errors.Is(err, errIdle) {
 			return
 		}
 		t.log.V(1).Info("stream to router ended", "peer", l.address, "cause", err.Error())
-		t.drain(l)
+		t.dropQueued(l)
 		select {
 		case <-ctx.Done():
-		case <-time.After(redial):
+		case <-time.After(redialDelay):
 		}
 	}
 }
 
-// drain drops what has queued up for a router that cannot be reached: old
-// control messages do more harm than missing ones.
-func (t *Transport) drain(l *link) {
+// dropQueued drops the queued messages for a router that is unreachable: outdated control
+// messages do more harm than missing ones.
+func (t *Transport) dropQueued(l *link) {
 	for {
 		select {
 		case <-l.queue:
@@ -173,15 +174,17 @@
 	}
 }
 
-func (t *Transport) stream(ctx context.Context, l *link) error {
+// runStream opens a stream to another router, identifies this router on it and sends queued
+// messages until the stream fails or has been idle.
+func (t *Transport) runStream(ctx context.Context, l *link) error {
 	conn, err := grpc.NewClient(
 		"passthrough:///"+l.address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(t.dial),
-		grpc.WithInitialWindowSize(window),
-		grpc.WithInitialConnWindowSize(window),
-		grpc.WithReadBufferSize(buffer),
-		grpc.WithWriteBufferSize(buffer),
+		grpc.WithInitialWindowSize(flowControlWindow),
+		grpc.WithInitialConnWindowSize(flowControlWindow),
+		grpc.WithReadBufferSize(connBufferSize),
+		grpc.WithWriteBufferSize(connBufferSize),
 		grpc.WithSharedWriteBuffer(true),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.DefaultConfig, MinConnectTimeout: time.Second}),
 	)
@@ -198,27 +201,28 @@
 		Peer: t.self.Peer, Incarnation: t.self.Incarnation,
 	}
 	if err := stream.Send(&peerpb.Envelope{Body: &peerpb.Envelope_Hello{Hello: hello}}); err != nil {
-		return errors.Wrapf(err, "greet %s", l.address)
+		return errors.Wrapf(err, "send greeting to %s", l.address)
 	}
-	return t.pump(stream, l)
+	return t.sendLoop(stream, l)
 }
 
-func (t *Transport) pump(stream peerpb.Peer_ExchangeClient, l *link) error {
-	idle := time.NewTicker(idleTime)
-	defer idle.Stop()
-	used := true
+// sendLoop sends the queued messages on an open stream.
+func (t *Transport) sendLoop(stream peerpb.Peer_ExchangeClient, l *link) error {
+	idleTicker := time.NewTicker(idleTimeout)
+	defer idleTicker.Stop()
+	active := true
 	for {
 		select {
-		case <-idle.C:
-			if !used && t.forget(l) {
+		case <-idleTicker.C:
+			if !active && t.removeIfEmpty(l) {
 				return errIdle
 			}
-			used = false
+			active = false
 		case <-stream.Context().Done():
 			return errors.Wrapf(stream.Context().Err(), "stream to %s", l.address)
 		case e := <-l.queue:
-			used = true
-			if t.isCut(l.address) {
+			active = true
+			if t.isCutOff(l.address) {
 				t.dropped.Add(1)
 				continue
 			}
@@ -230,8 +234,8 @@
 	}
 }
 
-// forget takes a link out unless there is something to send.
-func (t *Transport) forget(l *link) bool {
+// removeIfEmpty removes a link if no message is queued on it, and reports whether it did.
+func (t *Transport) removeIfEmpty(l *link) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(l.queue) > 0 {
@@ -276,19 +280,20 @@
 	return &countingConn{Conn: conn, bytes: l.bytes}, nil
 }
 
-// Exchange receives the messages of another router; it is called by gRPC.
+// Exchange receives the messages on a stream from another router. It implements
+// peerpb.PeerServer.
 func (t *Transport) Exchange(stream peerpb.Peer_ExchangeServer) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return err
 	}
-	h := first.GetHello()
-	if h.GetId() == "" {
+	hello := first.GetHello()
+	if hello.GetId() == "" {
 		return errors.New("stream does not begin with a greeting")
 	}
 	from := member.Member{
-		ID: message.RouterID(h.GetId()), Zone: h.GetZone(), Address: h.GetAddress(),
-		Peer: h.GetPeer(), Incarnation: h.GetIncarnation(),
+		ID: message.RouterID(hello.GetId()), Zone: hello.GetZone(), Address: hello.GetAddress(),
+		Peer: hello.GetPeer(), Incarnation: hello.GetIncarnation(),
 	}
 	for {
 		e, err := stream.Recv()
@@ -296,7 +301,7 @@
 			return err
 		}
 		m := decode(e, from)
-		if m == nil || t.isCut(from.Peer) {
+		if m == nil || t.isCutOff(from.Peer) {
 			t.dropped.Add(1)
 			continue
 		}
@@ -307,29 +312,31 @@
 	}
 }
 
-// Cut drops all messages to and from the given peer addresses, as a
-// partition would; nil ends it. It is for experiments.
-func (t *Transport) Cut(addresses map[string]bool) { t.cut.Store(&addresses) }
+// Cut makes the transport drop all messages to and from the given peer addresses, to simulate a
+// network partition in tests. Each call replaces the previous addresses; nil ends the
+// partition.
+func (t *Transport) Cut(addresses map[string]bool) { t.cutOff.Store(&addresses) }
 
-func (t *Transport) isCut(address string) bool {
-	cut := t.cut.Load()
-	return cut != nil && (*cut)[address]
+func (t *Transport) isCutOff(address string) bool {
+	cutOff := t.cutOff.Load()
+	return cutOff != nil && (*cutOff)[address]
 }
 
-// Stats are running totals of what was sent to other routers.
+// Stats are counters since the start. Messages counts those sent; Dropped includes received
+// ones.
 type Stats struct {
 	Messages int64 `json:"messages"`
-	// Bytes counts what was written to connections, framing included.
+	// Bytes is the number of bytes written to connections, including framing.
 	Bytes   int64 `json:"bytes"`
 	Dropped int64 `json:"dropped"`
 }
 
-// Stats returns the totals since the start.
+// Stats returns the counters.
 func (t *Transport) Stats() Stats {
 	return Stats{Messages: t.sent.Load(), Bytes: t.bytes.Load(), Dropped: t.dropped.Load()}
 }
 
-// Stop ends all streams and waits for their goroutines.
+// Stop closes all streams and waits for their goroutines.
 func (t *Transport) Stop() {
 	t.server.Stop()
 	t.group.Stop()
--- a/internal/adapter/peer/quarantine.go
+++ b/internal/adapter/peer/quarantine.go
@@ -14,7 +14,7 @@
 	out := &peerpb.Quarantine{WantAll: m.WantAll}
 	for _, r := range m.Records {
 		s := &peerpb.SuspectedRequest{
-			Key: r.Key[:], Organisation: r.Organisation, CrashAgeMs: age(r.SinceCrash), SeenAgeMs: age(r.SinceSeen),
+			Key: r.Key[:], Organisation: r.Organisation, CrashAgeMs: ageMillis(r.SinceCrash), SeenAgeMs: ageMillis(r.SinceSeen),
 		}
 		for _, c := range r.Crashes {
 			if c.Trial {
@@ -31,12 +31,12 @@
 	return out
 }
 
-// age returns an age as it is told, in milliseconds.
-func age(d time.Duration) uint32 {
+// ageMillis returns an age in milliseconds, limited to the range of the field on the wire.
+func ageMillis(d time.Duration) uint32 {
 	return uint32(min(max(d.Milliseconds(), 0), math.MaxUint32))
 }
 
-// decodeQuarantine returns the message; records whose key is none are left out.
+// decodeQuarantine decodes a message. It skips records whose key has the wrong length.
 func decodeQuarantine(m *peerpb.Quarantine) message.Quarantine {
 	out := message.Quarantine{WantAll: m.GetWantAll()}
 	for _, s := range m.GetRecords() {
--- a/internal/adapter/peer/quarantine_test.go
+++ b/internal/adapter/peer/quarantine_test.go
@@ -13,8 +13,8 @@
 	"github.com/stepcroft/stepcroft/internal/quarantine"
 )
 
-// suspects is a message with all that one may hold.
-func suspects() message.Quarantine {
+// quarantineMessage returns a message in which every field is set.
+func quarantineMessage() message.Quarantine {
 	return message.Quarantine{WantAll: true, Records: []quarantine.Record{{
 		Key: quarantine.KeyOf("o", "POST", "/x", nil), Organisation: "o",
 		Crashes:    []quarantine.Crash{{Target: "a@1"}, {Target: "b", Trial: true}, {Target: "c", Cleared: true, Trial: true}},
@@ -23,7 +23,7 @@
 }
 
 func TestQuarantineOnTheWire(t *testing.T) {
-	b, err := proto.Marshal(encode(suspects()))
+	b, err := proto.Marshal(encode(quarantineMessage()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,12 +31,13 @@
 	if err := proto.Unmarshal(b, e); err != nil {
 		t.Fatal(err)
 	}
-	if got := decode(e, member.Member{}); !reflect.DeepEqual(got, suspects()) {
-		t.Errorf("%+v, want %+v", got, suspects())
+	if got := decode(e, member.Member{}); !reflect.DeepEqual(got, quarantineMessage()) {
+		t.Errorf("decoded %+v, want %+v", got, quarantineMessage())
 	}
 }
 
-// TestSuspectsFitIntoDatagrams has the usual messages of a dozen fit: each after one end.
+// TestSuspectsFitIntoDatagrams checks that a message with twelve suspects, each with one crash,
+// fits into a datagram.
 func TestSuspectsFitIntoDatagrams(t *testing.T) {
 	m := message.Quarantine{}
 	for i := range 12 {
@@ -50,16 +51,16 @@
 		t.Fatal(err)
 	}
 	if len(b) > maxDatagram {
-		t.Errorf("%d bytes, %d fit", len(b), maxDatagram)
+		t.Errorf("message has %d bytes, at most %d fit into a datagram", len(b), maxDatagram)
 	}
 }
 
 func FuzzQuarantine(f *testing.F) {
-	good, err := proto.Marshal(encodeQuarantine(suspects()))
+	valid, err := proto.Marshal(encodeQuarantine(quarantineMessage()))
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(valid)
 	f.Add([]byte{0x0a, 0x02, 0x0a, 0x00})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m := new(peerpb.Quarantine)
@@ -67,16 +68,16 @@
 			return
 		}
 		s, now := quarantine.New(), time.Unix(1000, 0)
-		known := suspects().Records
+		known := quarantineMessage().Records
 		s.Merge(now, known)
 		s.Merge(now, decodeQuarantine(m).Records)
 		s.Updates(now)
 		if s.View() == nil && !s.Known(known[0].Key) {
-			t.Error("a message took away what was known")
+			t.Error("merging a received message removed a known suspect")
 		}
 		s.Expire(now.Add(24 * time.Hour))
 		if s.Digest() != 0 {
-			t.Error("something is left after a day")
+			t.Error("records are left after a day")
 		}
 	})
 }
