--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -30,9 +30,8 @@
 )
 
 const (
-	// headerTimeout bounds the time from the first byte of a request to the end of its
-	// headers. The server is created before the configured limit is known, so this is above
-	// the limits in use.
+	// headerTimeout bounds the time that reading a request's headers takes. The server is
+	// created before the configured limit is known, so this is above the limits in use.
 	headerTimeout = 10 * time.Second
 	// idleTimeout is how long an idle connection is kept open. It is above the configured
 	// limit, up to which callers reuse their connections.
@@ -86,7 +85,7 @@
 
 // Observer receives the result of each request, also of refused ones.
 type Observer interface {
-	RequestEnded(r forward.Request, v forward.Result, took time.Duration)
+	RequestEnded(r forward.Request, result forward.Result, took time.Duration)
 }
 
 // Server serves a router's callers. Use New to create one.
@@ -124,9 +123,9 @@
 }
 
 // New returns a server that refuses all requests until Configure is called.
-func New(d forward.HeaderNames, f *forward.Forwarder, o Observer, limits Limits, l logr.Logger) *Server {
+func New(names forward.HeaderNames, f *forward.Forwarder, o Observer, limits Limits, l logr.Logger) *Server {
 	s := &Server{
-		headerNames: d, forwarder: f, observer: o, log: l,
+		headerNames: names, forwarder: f, observer: o, log: l,
 		conns: newConns(limits.Connections, f.ShortOfCPU), maxOpen: int64(limits.Requests),
 	}
 	s.server = &http.Server{
@@ -151,7 +150,8 @@
 	return len(text), nil
 }
 
-// Configure replaces the routing table.
+// Configure puts a new routing table in force, which applies to requests that arrive from then
+// on.
 func (s *Server) Configure(t *routing.Table) { s.table.Store(t) }
 
 // Pause makes the server refuse all requests as not ready if paused is true, and serve them
@@ -215,9 +215,9 @@
 	if s.closing.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	request, v := s.prepare(w, r, arrived)
-	if v.Status != 0 {
-		s.finish(w, request, v, arrived)
+	request, result := s.prepare(w, r, arrived)
+	if result.Status != 0 {
+		s.finish(w, request, result, arrived)
 		return
 	}
 	defer s.bodyBytes.Add(-int64(len(request.Body)))
@@ -226,26 +226,26 @@
 	s.finish(w, request, s.forwarder.Forward(r.Context(), request, a), arrived)
 }
 
-// finish reports a result to the observer and, unless the answer has been forwarded, writes it
+// finish reports a result to the observer and, unless an answer has been forwarded, writes it
 // to the caller. An answer that broke off part-way is aborted, so that the caller notices.
-func (s *Server) finish(w http.ResponseWriter, r forward.Request, v forward.Result, arrived time.Time) {
-	s.observer.RequestEnded(r, v, clock.Since(arrived))
-	if v.Truncated {
+func (s *Server) finish(w http.ResponseWriter, r forward.Request, result forward.Result, arrived time.Time) {
+	s.observer.RequestEnded(r, result, clock.Since(arrived))
+	if result.Truncated {
 		panic(http.ErrAbortHandler)
 	}
-	if v.HeadSent {
+	if result.HeadSent {
 		return
 	}
 	h := w.Header()
 	if r.ID != "" {
 		h.Set(s.headerNames.RequestID, r.ID)
 	}
-	if v.RetryAfter > 0 {
-		h.Set("Retry-After", retryAfter(v.RetryAfter))
+	if result.RetryAfter > 0 {
+		h.Set("Retry-After", retryAfter(result.RetryAfter))
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	w.WriteHeader(v.Status)
-	if _, err := io.WriteString(w, string(v.Reason)+"\n"); err != nil {
+	w.WriteHeader(result.Status)
+	if _, err := io.WriteString(w, string(result.Reason)+"\n"); err != nil {
 		s.log.V(1).Info("refusal not delivered", "id", r.ID, "cause", err.Error())
 	}
 }
@@ -271,8 +271,8 @@
 	if t == nil || s.paused.Load() {
 		return out, refused(http.StatusServiceUnavailable, ReasonNotReady, notReadyRetryAfter)
 	}
-	if v := s.identify(t, &out, r.Header.Get("Authorization")); v.Status != 0 {
-		return out, v
+	if result := s.identify(t, &out, r.Header.Get("Authorization")); result.Status != 0 {
+		return out, result
 	}
 	out.Input, out.Output = parseSizes(r.Header.Get(s.headerNames.PromptSize), r.Header.Get(s.headerNames.OutputHint))
 	if reason := s.admit(out); reason != "" {
--- a/internal/ingress/listener.go
+++ b/internal/ingress/listener.go
@@ -175,13 +175,13 @@
 // refuseAndClose answers a request that has not run with 503 and a Retry-After, and closes the
 // connection.
 func (s *Server) refuseAndClose(c earlyConn, r forward.Request, reason forward.Reason, after time.Duration) {
-	v := refused(http.StatusServiceUnavailable, reason, after)
-	if _, err := c.Write(s.formatRefusal(r.ID, v, true)); err != nil {
+	result := refused(http.StatusServiceUnavailable, reason, after)
+	if _, err := c.Write(s.formatRefusal(r.ID, result, true)); err != nil {
 		s.log.V(1).Info("refusal not delivered", "id", r.ID, "cause", err.Error())
 	}
 	// An error means that the caller has disconnected.
 	_ = c.Close()
-	s.observer.RequestEnded(r, v, 0)
+	s.observer.RequestEnded(r, result, 0)
 }
 
 // rejectionCounter counts rejected connections. lastLogged is the Unix time, in seconds, at
--- a/internal/ingress/quick.go
+++ b/internal/ingress/quick.go
@@ -39,11 +39,11 @@
 	if err := discard(c, remaining); err != nil {
 		return false, err
 	}
-	v := refused(http.StatusServiceUnavailable, reason, overloadRetryAfter())
-	if _, err := c.Write(s.formatRefusal(r.ID, v, false)); err != nil {
+	result := refused(http.StatusServiceUnavailable, reason, overloadRetryAfter())
+	if _, err := c.Write(s.formatRefusal(r.ID, result, false)); err != nil {
 		return false, errors.Wrap(err, "write refusal")
 	}
-	s.observer.RequestEnded(r, v, clock.Since(arrived))
+	s.observer.RequestEnded(r, result, clock.Since(arrived))
 	return true, errors.Wrap(c.SetReadDeadline(clock.Deadline(idleTimeout)), "wait for the next request")
 }
 
@@ -80,7 +80,7 @@
 	if limit > 0 && h.bodyLength > limit {
 		return out, ""
 	}
-	if v := s.identify(t, &out, string(h.authorization)); v.Status != 0 {
+	if result := s.identify(t, &out, string(h.authorization)); result.Status != 0 {
 		return out, ""
 	}
 	if !out.ToEngine {
@@ -91,7 +91,7 @@
 
 // formatRefusal returns the bytes of a refusal; if last is set, its header says that the
 // connection is closed.
-func (s *Server) formatRefusal(id string, v forward.Result, last bool) []byte {
+func (s *Server) formatRefusal(id string, result forward.Result, last bool) []byte {
 	b := make([]byte, 0, 256)
 	b = append(b, "HTTP/1.1 503 Service Unavailable\r\n"...)
 	if id != "" {
@@ -100,10 +100,10 @@
 	if last {
 		b = append(b, "Connection: close\r\n"...)
 	}
-	b = append(b, "Retry-After: "+retryAfter(v.RetryAfter)+"\r\n"...)
+	b = append(b, "Retry-After: "+retryAfter(result.RetryAfter)+"\r\n"...)
 	b = append(b, "Content-Type: text/plain; charset=utf-8\r\n"...)
-	b = append(b, "Content-Length: "+strconv.Itoa(len(v.Reason)+1)+"\r\n\r\n"...)
-	return append(b, string(v.Reason)+"\n"...)
+	b = append(b, "Content-Length: "+strconv.Itoa(len(result.Reason)+1)+"\r\n\r\n"...)
+	return append(b, string(result.Reason)+"\n"...)
 }
 
 // scratchSize is the size, in bytes, of a buffer for input that is discarded.
--- a/internal/ingress/told_test.go
+++ b/internal/ingress/told_test.go
@@ -34,9 +34,9 @@
 // rejectedOnly is an observer that expects only rejections of overdue connections.
 type rejectedOnly struct{ t *testing.T }
 
-func (o rejectedOnly) RequestEnded(r forward.Request, v forward.Result, _ time.Duration) {
-	if v.Reason != ReasonOverdue || v.Status != http.StatusServiceUnavailable {
-		o.t.Errorf("request %q: %+v", r.ID, v)
+func (o rejectedOnly) RequestEnded(r forward.Request, result forward.Result, _ time.Duration) {
+	if result.Reason != ReasonOverdue || result.Status != http.StatusServiceUnavailable {
+		o.t.Errorf("request %q: %+v", r.ID, result)
 	}
 }
 
@@ -91,9 +91,9 @@
 // leavingOnly is an observer that expects only refusals because the router shuts down.
 type leavingOnly struct{ t *testing.T }
 
-func (o leavingOnly) RequestEnded(r forward.Request, v forward.Result, _ time.Duration) {
-	if v.Reason != ReasonLeaving || r.ID != "1" {
-		o.t.Errorf("request %q: %+v", r.ID, v)
+func (o leavingOnly) RequestEnded(r forward.Request, result forward.Result, _ time.Duration) {
+	if result.Reason != ReasonLeaving || r.ID != "1" {
+		o.t.Errorf("request %q: %+v", r.ID, result)
 	}
 }
 
