--- a/internal/quarantine/key_test.go
+++ b/internal/quarantine/key_test.go
@@ -14,24 +14,24 @@
 	// Output: true
 }
 
-func TestKeyTellsRequestsApart(t *testing.T) {
+func TestKeyDistinguishesRequests(t *testing.T) {
 	same := quarantine.KeyOf("o", "POST", "/ask", []byte("question"))
 	others := map[string]quarantine.Key{
-		"organisation":      quarantine.KeyOf("p", "POST", "/ask", []byte("question")),
-		"method":            quarantine.KeyOf("o", "PUT", "/ask", []byte("question")),
-		"path":              quarantine.KeyOf("o", "POST", "/ask/", []byte("question")),
-		"body":              quarantine.KeyOf("o", "POST", "/ask", []byte("questiom")),
-		"where a part ends": quarantine.KeyOf("o", "POST/", "ask", []byte("question")),
-		"no body":           quarantine.KeyOf("o", "POST", "/ask", nil),
+		"organisation":           quarantine.KeyOf("p", "POST", "/ask", []byte("question")),
+		"method":                 quarantine.KeyOf("o", "PUT", "/ask", []byte("question")),
+		"path":                   quarantine.KeyOf("o", "POST", "/ask/", []byte("question")),
+		"body":                   quarantine.KeyOf("o", "POST", "/ask", []byte("questiom")),
+		"boundary between parts": quarantine.KeyOf("o", "POST/", "ask", []byte("question")),
+		"presence of a body":     quarantine.KeyOf("o", "POST", "/ask", nil),
 	}
 	for name, key := range others {
 		if key == same {
-			t.Errorf("another %s has the same key", name)
+			t.Errorf("a request that differs in the %s has the same key", name)
 		}
 	}
 }
 
-// BenchmarkKeyOf says what a request costs while any is suspected.
+// BenchmarkKeyOf measures the cost of each request while any request is suspected.
 func BenchmarkKeyOf(b *testing.B) {
 	body := make([]byte, 28<<10)
 	b.SetBytes(int64(len(body)))
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -15,21 +15,22 @@
 // key returns the key of a request with a body.
 func key(body string) quarantine.Key { return quarantine.KeyOf("o", "POST", "/ask", []byte(body)) }
 
-// end ends a target under requests.
-func end(s *quarantine.State, now time.Time, target string, trial bool, bodies ...string) {
+// crash reports that a target crashed while it ran requests.
+func crash(s *quarantine.State, now time.Time, target string, trial bool, bodies ...string) {
 	for _, body := range bodies {
 		s.RecordBreak(now, key(body), "o", target, trial)
 	}
 	s.RecordExit(now, target)
 }
 
-// ExampleState shows the life of an entry: suspected, sent away, held back, cleared.
+// ExampleState shows the states of a request: suspected, rejected for a while, held back,
+// cleared.
 func ExampleState() {
 	s := quarantine.New()
 	now := time.Unix(1000, 0)
 	k := quarantine.KeyOf("o", "POST", "/ask", []byte("question"))
 	show := func() {
-		fmt.Println(s.View().Crashes(k), "ended, sent away for", s.View().RejectedFor(now, k))
+		fmt.Println(s.View().Crashes(k), "crashes, rejected for", s.View().RejectedFor(now, k))
 	}
 	for _, target := range []string{"a", "b", "c"} {
 		s.RecordBreak(now, k, "o", target, s.View().Crashes(k) > 1)
@@ -40,138 +41,138 @@
 	s.Clear(k)
 	show()
 	// Output:
-	// 1 ended, sent away for 0s
-	// 2 ended, sent away for 3s
-	// 3 ended, sent away for 30s
-	// 0 ended, sent away for 0s
+	// 1 crashes, rejected for 0s
+	// 2 crashes, rejected for 3s
+	// 3 crashes, rejected for 30s
+	// 0 crashes, rejected for 0s
 }
 
-func TestNotACrash(t *testing.T) {
+func TestNoCrash(t *testing.T) {
 	cases := map[string]func(s *quarantine.State){
-		"a broken answer of a target that runs on": func(s *quarantine.State) {
+		"a broken answer of a target that keeps running": func(s *quarantine.State) {
 			s.RecordBreak(start, key("q"), "o", "a", false)
 		},
-		"the end of a target long after": func(s *quarantine.State) {
+		"the exit of a target long after": func(s *quarantine.State) {
 			s.RecordBreak(start, key("q"), "o", "a", false)
 			s.RecordExit(start.Add(time.Minute), "a")
 		},
-		"the end of another target": func(s *quarantine.State) {
+		"the exit of another target": func(s *quarantine.State) {
 			s.RecordBreak(start, key("q"), "o", "a", false)
 			s.RecordExit(start, "b")
 		},
-		"the end of another incarnation": func(s *quarantine.State) {
+		"the exit of another incarnation": func(s *quarantine.State) {
 			s.RecordBreak(start, key("q"), "o", "a@2", false)
 			s.RecordExit(start, "a@1")
 		},
 	}
-	for name, play := range cases {
+	for name, record := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := quarantine.New()
-			play(s)
+			record(s)
 			if n := s.View().Crashes(key("q")); n != 0 || len(s.Updates(start)) > 0 {
-				t.Errorf("%d crashes known", n)
+				t.Errorf("%d crashes recorded, want none", n)
 			}
 		})
 	}
 }
 
-func TestEndThatTurnsOutLater(t *testing.T) {
+func TestExitKnownAfterBrokenAnswer(t *testing.T) {
 	s := quarantine.New()
 	s.RecordBreak(start, key("q"), "o", "a", false)
 	s.RecordExit(start.Add(2*time.Second), "a")
 	if n := s.RecordBreak(start.Add(3*time.Second), key("r"), "o", "a", false); n != 1 || s.View().Crashes(key("q")) != 1 {
-		t.Errorf("%d and %d crashes known, want 1 and 1", s.View().Crashes(key("q")), n)
+		t.Errorf("%d and %d crashes recorded, want 1 and 1", s.View().Crashes(key("q")), n)
 	}
 }
 
 func TestTrials(t *testing.T) {
 	s, now := quarantine.New(), start
 	for _, target := range []string{"a", "b", "c"} {
-		end(s, now, target, false, "q")
+		crash(s, now, target, false, "q")
 	}
 	for i, pause := range []time.Duration{3 * time.Second, 30 * time.Second, 5 * time.Minute} {
 		if s.StartTrial(now.Add(pause-time.Millisecond), key("q"), now.Add(time.Hour)) {
-			t.Fatalf("trial %d before its time", i)
+			t.Fatalf("trial %d allowed before its delay is over", i)
 		}
 		now = now.Add(pause)
 		if !s.StartTrial(now, key("q"), now.Add(time.Second)) || s.StartTrial(now, key("q"), now.Add(time.Second)) {
-			t.Fatalf("trial %d: want one and no more", i)
+			t.Fatalf("trial %d: not exactly one was allowed", i)
 		}
-		end(s, now, fmt.Sprint("t", i), true, "q")
+		crash(s, now, fmt.Sprint("t", i), true, "q")
 		s.EndTrial(key("q"))
 	}
-	// It comes again and again for most of a day.
+	// The request keeps arriving for most of a day.
 	for range 20 * 60 {
 		now = now.Add(time.Minute)
 		s.RecordSeen(now, key("q"))
 		s.Expire(now)
 		if s.StartTrial(now, key("q"), now) {
-			t.Fatal("a fourth trial")
+			t.Fatal("a fourth trial was allowed")
 		}
 	}
 	if list := s.Expire(now.Add(2 * time.Hour)); len(list) != 1 || s.View() != nil || s.Digest() != 0 {
-		t.Errorf("%v forgotten after two hours without it, digest %x", list, s.Digest())
+		t.Errorf("%v expired two hours after the request last arrived, digest %x, want one record and an empty state", list, s.Digest())
 	}
 }
 
-func TestHeldAgainInTheSameMillisecond(t *testing.T) {
+func TestHoldsInTheSameMillisecond(t *testing.T) {
 	s := quarantine.New()
 	for range 2 {
 		s.Hold(start, key("q"), "o", "operator")
 		if n := s.View().Crashes(key("q")); !quarantine.HeldBack(n) {
-			t.Errorf("%d crashes stand after it was held back", n)
+			t.Errorf("%d uncleared crashes after the hold, too few to hold the request back", n)
 		}
 		s.Clear(key("q"))
 	}
 	if list := s.All(start); len(list) != 1 || len(list[0].Crashes) != 6 {
-		t.Errorf("%+v known, want six crashes", list)
+		t.Errorf("%+v recorded, want six crashes", list)
 	}
 }
 
 func TestBounds(t *testing.T) {
 	s := quarantine.New()
-	end(s, start, "a", false, "q")
-	end(s, start, "b", false, "q")
+	crash(s, start, "a", false, "q")
+	crash(s, start, "b", false, "q")
 	for i := range 5000 {
-		end(s, start.Add(time.Second), "c", false, fmt.Sprint("variant ", i))
+		crash(s, start.Add(time.Second), "c", false, fmt.Sprint("variant ", i))
 		s.RecordBreak(start, key("other"), fmt.Sprint("organisation ", i%50), fmt.Sprint("d", i), false)
 	}
 	if n := len(s.All(start)); n > 1024 {
-		t.Errorf("%d requests kept", n)
+		t.Errorf("%d records, want at most 1024", n)
 	}
 	if n := s.View().Crashes(key("q")); n != 2 {
-		t.Errorf("%d crashes known of the one that is suspected most, want 2", n)
+		t.Errorf("%d crashes recorded of the request with the most crashes, want 2", n)
 	}
 	for i := range 100 {
-		end(s, start, fmt.Sprint("e", i), false, "q")
+		crash(s, start, fmt.Sprint("e", i), false, "q")
 	}
 	if n := s.View().Crashes(key("q")); n > quarantine.MaxCrashes {
-		t.Errorf("%d crashes kept of one request", n)
+		t.Errorf("%d crashes recorded of one request", n)
 	}
 }
 
-func TestBadRecords(t *testing.T) {
+func TestInvalidRecords(t *testing.T) {
 	crashes := []quarantine.Crash{{Target: "a"}, {Target: "b"}, {Target: "c"}}
 	cases := map[string]quarantine.Record{
-		"negative times":  {Key: key("q"), Crashes: crashes, SinceCrash: -time.Second, SinceSeen: -time.Second},
-		"too old":         {Key: key("q"), Crashes: crashes, SinceSeen: 2 * time.Hour},
-		"without a crash": {Key: key("q")},
-		"without a name":  {Key: key("q"), Crashes: []quarantine.Crash{{}}},
+		"negative times":   {Key: key("q"), Crashes: crashes, SinceCrash: -time.Second, SinceSeen: -time.Second},
+		"too old":          {Key: key("q"), Crashes: crashes, SinceSeen: 2 * time.Hour},
+		"without a crash":  {Key: key("q")},
+		"without a target": {Key: key("q"), Crashes: []quarantine.Crash{{}}},
 	}
 	for name, r := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := quarantine.New()
 			s.Merge(start, []quarantine.Record{r})
 			if len(s.All(start)) > 0 {
-				t.Errorf("%+v taken over", s.All(start))
+				t.Errorf("%+v was accepted", s.All(start))
 			}
 		})
 	}
 }
 
-// TestRoutersAgree has some routers learn of ends, clear requests and tell one another in
-// any order, twice or not at all; once all have told all, they know the same, and that is
-// what the events say.
+// TestRoutersAgree checks that routers agree on the crashes that were recorded and not cleared,
+// once all of them have exchanged their records. Before that, they record crashes, clear
+// requests and send records in any order, twice or not at all.
 func TestRoutersAgree(t *testing.T) {
 	bodies, targets := []string{"q", "r", "s"}, []string{"a", "b", "c", "d"}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -187,7 +188,7 @@
 		}
 		now := start
 		router := rapid.IntRange(0, len(fleet)-1)
-		tell := func(from, to int, list []quarantine.Record) {
+		send := func(from, to int, list []quarantine.Record) {
 			fleet[to].Merge(now, list)
 			for f := range known[from] {
 				known[to][f] = true
@@ -201,7 +202,7 @@
 			case 0:
 				f := fact{body, rapid.SampledFrom(targets).Draw(rt, "target")}
 				crashed[f], known[i][f] = true, true
-				end(fleet[i], now, f.target, false, f.body)
+				crash(fleet[i], now, f.target, false, f.body)
 			case 1:
 				fleet[i].Clear(key(body))
 				for f := range known[i] {
@@ -211,14 +212,14 @@
 				j := router.Draw(rt, "to")
 				list := fleet[i].All(now)
 				for range rapid.IntRange(0, 2).Draw(rt, "times") {
-					tell(i, j, list)
+					send(i, j, list)
 				}
 			}
 		}
 		for range 2 {
 			for i := range fleet {
 				for j := range fleet {
-					tell(i, j, fleet[i].All(now))
+					send(i, j, fleet[i].All(now))
 				}
 			}
 		}
@@ -231,21 +232,21 @@
 					}
 				}
 				if got := s.View().Crashes(key(body)); got != want {
-					rt.Fatalf("router %d knows %d crashes of %s, want %d", i, got, body, want)
+					rt.Fatalf("router %d has recorded %d crashes of %s, want %d", i, got, body, want)
 				}
 			}
 			if s.Digest() != fleet[0].Digest() {
-				rt.Fatalf("router %d has another digest", i)
+				rt.Fatalf("router %d has a different digest than router 0", i)
 			}
 		}
 	})
 }
 
-// BenchmarkHeld says what the look at a suspected request costs, its key known.
-func BenchmarkHeld(b *testing.B) {
+// BenchmarkRejectedFor measures the check of a suspected request whose key is known.
+func BenchmarkRejectedFor(b *testing.B) {
 	s := quarantine.New()
 	for i := range 1000 {
-		end(s, start, "a", false, fmt.Sprint(i))
+		crash(s, start, "a", false, fmt.Sprint(i))
 	}
 	v, k := s.View(), key("7")
 	b.ReportAllocs()
