--- a/internal/adapter/httpcaller/answer.go
+++ b/internal/adapter/httpcaller/answer.go
@@ -53,7 +53,7 @@
 	if f.detail == "" {
 		f.detail = string(f.reason)
 	}
-	h.Metrics.Refused(f.reason)
+	h.Metrics.CountRefusal(f.reason)
 	w.Header().Set(HeaderOutcome, string(f.outcome))
 	w.Header().Set(HeaderReason, string(f.reason))
 	if after := f.retryAfter(); after > 0 {
--- a/internal/adapter/httpcaller/chat.go
+++ b/internal/adapter/httpcaller/chat.go
@@ -118,7 +118,7 @@
 		if retry == "" {
 			return record
 		}
-		x.handler.Metrics.Retried(retry)
+		x.handler.Metrics.CountRetry(retry)
 		x.handler.Core.Retry(x.ticket)
 	}
 }
@@ -158,7 +158,7 @@
 	x.ticket.ServedCost.Store(0)
 	err := x.send(d.Address)
 	for try := 0; try < maxResumes && x.resumable(err); try++ {
-		x.handler.Metrics.Retried(request.RetryResume)
+		x.handler.Metrics.CountRetry(request.RetryResume)
 		err = x.resume(d.Address, err)
 	}
 	if err == nil {
@@ -285,7 +285,7 @@
 	}
 	invariant.Check(f.outcome != request.NotRun || !x.sink.begun(), invariant.NotRunIsTrue)
 	if x.sink.begun() {
-		x.handler.Metrics.Refused(reason)
+		x.handler.Metrics.CountRefusal(reason)
 		x.sink.abort(f)
 	} else {
 		x.handler.refuse(x.writer, f)
--- a/internal/adapter/httpcaller/requests.go
+++ b/internal/adapter/httpcaller/requests.go
@@ -156,7 +156,7 @@
 	j.cancel(nil)
 	end.ID = j.id
 	h.Records.Close(end)
-	h.Metrics.Ended(end.Outcome)
+	h.Metrics.CountOutcome(end.Outcome)
 	h.Log.V(1).Info("request ended", "request", j.id.String(), "outcome", end.Outcome,
 		"reason", end.Reason, "remaining", clock.Until(j.terms.deadline).String())
 }
--- a/internal/adapter/httpcaller/service.go
+++ b/internal/adapter/httpcaller/service.go
@@ -145,7 +145,7 @@
 		if !c.handler.Budget.Spend() {
 			return c.refuse(request.ReasonRetryBudget, err)
 		}
-		c.handler.Metrics.Retried(retryReason(err))
+		c.handler.Metrics.CountRetry(retryReason(err))
 	}
 }
 
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -1,5 +1,5 @@
-// Package latency compares requests through a router with requests sent to its
-// engine directly.
+// Package latency compares the latency of requests through a router with that of requests sent
+// directly to its engine.
 package latency
 
 import (
@@ -23,37 +23,39 @@
 	"github.com/stepcroft/stepcroft/internal/standin"
 )
 
-// Options describe a comparison of a router with the engine behind it.
+// Options describes a comparison of a router with the engine behind it.
 type Options struct {
-	// Router and Engine are addresses; Admin is the router's metrics.
+	// Router and Engine are the addresses for requests, Admin is the one of the router's
+	// metrics.
 	Router, Engine, Admin string
 	Key, Model            string
-	// Callers make requests at the same time, each at Rate a second.
+	// Callers is the number of concurrent callers, Rate the number of requests that each sends
+	// a second.
 	Callers  int
 	Rate     float64
 	Duration time.Duration
 	Tokens   int
 	Stream   bool
-	// Direct sends every other request to the engine itself.
+	// Direct sends every other request directly to the engine.
 	Direct bool
 }
 
-// Result is what a comparison found.
+// Result holds the measurements of a comparison.
 type Result struct {
-	Requests       int              `json:"requests"`
-	Failed         int              `json:"failed"`
-	PerSecond      float64          `json:"requests_per_second"`
-	TokensPerSec   float64          `json:"tokens_per_second"`
-	RoutedMS       report.Quantiles `json:"routed_ms"`
-	DirectMS       report.Quantiles `json:"direct_ms"`
-	RouterCores    float64          `json:"router_cores"`
-	CPUPerRequest  float64          `json:"router_cpu_us_per_request"`
-	RouterResident int64            `json:"router_resident_bytes"`
-	OpenAtMost     int              `json:"open_at_most"`
-	BetweenMS      report.Quantiles `json:"between_tokens_ms"`
+	Requests                  int              `json:"requests"`
+	Failed                    int              `json:"failed"`
+	RequestsPerSecond         float64          `json:"requests_per_second"`
+	TokensPerSecond           float64          `json:"tokens_per_second"`
+	RoutedMS                  report.Quantiles `json:"routed_ms"`
+	DirectMS                  report.Quantiles `json:"direct_ms"`
+	RouterCores               float64          `json:"router_cores"`
+	RouterCPUMicrosPerRequest float64          `json:"router_cpu_us_per_request"`
+	RouterResidentBytes       int64            `json:"router_resident_bytes"`
+	MaxOpen                   int              `json:"open_at_most"`
+	BetweenTokensMS           report.Quantiles `json:"between_tokens_ms"`
 }
 
-// run is a comparison under way.
+// run is a comparison in progress.
 type run struct {
 	options Options
 	client  *http.Client
@@ -65,7 +67,8 @@
 	between        *hdrhistogram.Histogram
 }
 
-// Compare compares requests through a router with requests to its engine.
+// Compare sends requests through a router, and directly to its engine if the options say so, and
+// returns the measurements.
 func Compare(ctx context.Context, o Options) (Result, error) {
 	dialer := &net.Dialer{Timeout: 5 * time.Second}
 	r := &run{
@@ -81,7 +84,7 @@
 	start := clock.Now()
 	g := group.New(ctx)
 	for i := range o.Callers {
-		g.GoContext(func(ctx context.Context) { r.caller(ctx, i, start) })
+		g.GoContext(func(ctx context.Context) { r.runCaller(ctx, i, start) })
 	}
 	g.Wait()
 	took := clock.Since(start).Seconds()
@@ -91,16 +94,16 @@
 	}
 	out := r.result
 	cpu := after.CPUSeconds - before.CPUSeconds
-	out.PerSecond = float64(out.Requests) / took
-	out.TokensPerSec = float64(r.tokens) / took
+	out.RequestsPerSecond = float64(out.Requests) / took
+	out.TokensPerSecond = float64(r.tokens) / took
 	out.RouterCores = cpu / took
-	out.CPUPerRequest = cpu * 1e6 / float64(max(int(r.routed.TotalCount()), 1))
-	out.RouterResident = after.ResidentBytes
-	out.RoutedMS, out.DirectMS, out.BetweenMS = report.NewQuantiles(r.routed), report.NewQuantiles(r.direct), report.NewQuantiles(r.between)
+	out.RouterCPUMicrosPerRequest = cpu * 1e6 / float64(max(int(r.routed.TotalCount()), 1))
+	out.RouterResidentBytes = after.ResidentBytes
+	out.RoutedMS, out.DirectMS, out.BetweenTokensMS = report.NewQuantiles(r.routed), report.NewQuantiles(r.direct), report.NewQuantiles(r.between)
 	return out, nil
 }
 
-// processMetrics are a router's own, of its process.
+// processMetrics holds the metrics of a router's process.
 type processMetrics struct {
 	CPUSeconds    float64 `json:"cpu_seconds"`
 	ResidentBytes int64   `json:"resident_bytes"`
@@ -122,9 +125,9 @@
 	return vars.Process, errors.Wrap(json.NewDecoder(res.Body).Decode(&vars), "read router's metrics")
 }
 
-// caller makes requests at its rate, starting somewhere within the first
-// interval, until the time is over.
-func (r *run) caller(ctx context.Context, i int, start time.Time) {
+// runCaller sends requests at the rate of one caller until the duration is over. The callers'
+// first requests are spread over one interval.
+func (r *run) runCaller(ctx context.Context, i int, start time.Time) {
 	interval := time.Duration(float64(time.Second) / r.options.Rate)
 	next := start.Add(interval * time.Duration(i) / time.Duration(r.options.Callers))
 	end := start.Add(r.options.Duration)
@@ -141,8 +144,8 @@
 }
 
 func (r *run) request(ctx context.Context, direct bool) {
-	r.opened(1)
-	defer r.opened(-1)
+	r.addOpen(1)
+	defer r.addOpen(-1)
 	start := clock.Now()
 	tokens, err := r.exchange(ctx, direct)
 	took := clock.Since(start)
@@ -161,13 +164,14 @@
 	_ = h.RecordValue(took.Microseconds())
 }
 
-func (r *run) opened(n int) {
+func (r *run) addOpen(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open += n
-	r.result.OpenAtMost = max(r.result.OpenAtMost, r.open)
+	r.result.MaxOpen = max(r.result.MaxOpen, r.open)
 }
 
+// exchange sends one request and returns the number of tokens in the answer.
 func (r *run) exchange(ctx context.Context, direct bool) (int, error) {
 	address := r.options.Router
 	if direct {
@@ -196,6 +200,7 @@
 	return r.readTokens(res.Body)
 }
 
+// readTokens counts the tokens of a streamed answer and records the times between them.
 func (r *run) readTokens(body io.Reader) (int, error) {
 	reader := bufio.NewReader(body)
 	tokens := 0
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,6 +1,5 @@
-// Package logsink writes log lines without ever holding up who logs: lines
-// queue up to a bound, at most so many a second are written, and what does
-// not fit is dropped and counted.
+// Package logsink writes log lines without ever blocking the caller: the queue of lines and the
+// number of lines a second are bounded, and lines beyond the bounds are dropped and counted.
 package logsink
 
 import (
@@ -11,44 +10,43 @@
 	"time"
 )
 
-// maxBatch is the size, in bytes, up to which lines are written together.
-const maxBatch = 16 << 10
+// maxBatchBytes is the size from which a batch of lines takes no further line.
+const maxBatchBytes = 16 << 10
 
-// Sink is an io.Writer for log lines, one for each call. Use New to make one.
+// Sink is an io.Writer for log lines, which takes one line for each call. Use New to create one.
 type Sink struct {
 	out       io.Writer
 	lines     chan []byte
 	perSecond int64
-	// second counts the lines of the current second, dropped those dropped
-	// since it was last told, total all of them.
-	second, dropped, total atomic.Int64
+	// thisSecond counts the lines of the current second, unreported the lines dropped since
+	// the last log line about them, and dropped all dropped lines.
+	thisSecond, unreported, dropped atomic.Int64
 }
 
-// New returns a sink that holds up to queued lines and takes up to perSecond
-// lines a second for out. Run must be running.
+// New returns a sink that queues up to queued lines and accepts up to perSecond lines a second
+// for out. Run writes the lines.
 func New(out io.Writer, queued, perSecond int) *Sink {
 	return &Sink{out: out, lines: make(chan []byte, queued), perSecond: int64(perSecond)}
 }
 
-// detailShare is the part of a second's lines, in percent, that is open to
-// lines of which there may be very many. The rest is kept for the others: what
-// the process believes must be told under a flood of requests, too.
-const detailShare = 80
+// detailPercent is the percentage of a second's lines that is open to high-volume lines, such as
+// those about single requests. The rest is reserved for other lines, so that changes of the
+// process's state are logged under a flood of requests, too.
+const detailPercent = 80
 
-// Full reports whether the sink should get no more lines this second of which
-// there may be very many. One that would log such a line should then not even
-// make it, but call Drop.
-func (s *Sink) Full() bool { return s.second.Load()*100 >= s.perSecond*detailShare }
+// DetailsFull reports whether the sink should get no more high-volume lines this second. The
+// caller should then call Drop instead of formatting such a line.
+func (s *Sink) DetailsFull() bool { return s.thisSecond.Load()*100 >= s.perSecond*detailPercent }
 
-// Drop counts a line that was not made.
+// Drop counts a line as dropped.
 func (s *Sink) Drop() {
+	s.unreported.Add(1)
 	s.dropped.Add(1)
-	s.total.Add(1)
 }
 
 // Write queues a line; it never blocks and never fails.
 func (s *Sink) Write(line []byte) (int, error) {
-	if s.second.Add(1) > s.perSecond {
+	if s.thisSecond.Add(1) > s.perSecond {
 		s.Drop()
 		return len(line), nil
 	}
@@ -61,9 +59,9 @@
 }
 
 // Dropped returns the number of lines dropped since the start.
-func (s *Sink) Dropped() int64 { return s.total.Load() }
+func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Run writes lines until ctx ends, and then those that are queued.
+// Run writes lines until ctx ends, and then the lines that are still queued.
 func (s *Sink) Run(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -73,17 +71,17 @@
 			s.flush()
 			return
 		case <-ticker.C:
-			s.second.Store(0)
-			s.tell()
+			s.thisSecond.Store(0)
+			s.reportDropped()
 		case line := <-s.lines:
 			s.write(s.batch(line))
 		}
 	}
 }
 
-// batch returns a line and those that are queued behind it.
+// batch returns a line joined with those that are queued behind it, up to about maxBatchBytes.
 func (s *Sink) batch(line []byte) []byte {
-	for len(line) < maxBatch {
+	for len(line) < maxBatchBytes {
 		select {
 		case next := <-s.lines:
 			line = append(line, next...)
@@ -94,29 +92,29 @@
 	return line
 }
 
+// flush writes the queued lines.
 func (s *Sink) flush() {
 	for {
 		select {
 		case line := <-s.lines:
 			s.write(s.batch(line))
 		default:
-			s.tell()
+			s.reportDropped()
 			return
 		}
 	}
 }
 
-// tell writes how many lines were dropped since it last did.
-func (s *Sink) tell() {
-	if n := s.dropped.Swap(0); n > 0 {
+// reportDropped logs how many lines were dropped since its last log line.
+func (s *Sink) reportDropped() {
+	if n := s.unreported.Swap(0); n > 0 {
 		s.write(fmt.Appendf(nil, "{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"lines\":%d}\n", n))
 	}
 }
 
-// write writes lines. There is nowhere to tell of an error, so they count as
-// dropped.
+// write writes lines. Since an error cannot be logged, a failed write counts as a dropped line.
 func (s *Sink) write(lines []byte) {
 	if _, err := s.out.Write(lines); err != nil {
-		s.total.Add(1)
+		s.dropped.Add(1)
 	}
 }
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -27,7 +27,7 @@
 		}
 	}
 
-	It("writes lines in order, also those queued at its end", func() {
+	It("writes lines in order, including those still queued when its context ends", func() {
 		var out bytes.Buffer
 		s := logsink.New(&out, 100, 100)
 		log(s, 3)
@@ -38,7 +38,7 @@
 		Expect(s.Dropped()).To(BeZero())
 	})
 
-	It("drops what does not fit, never blocks, and says how much", func() {
+	It("drops lines beyond the queue or the rate without blocking, and logs how many", func() {
 		for name, bounds := range map[string][2]int{"queue": {2, 100}, "rate": {100, 2}} {
 			var out bytes.Buffer
 			s := logsink.New(&out, bounds[0], bounds[1])
@@ -52,15 +52,15 @@
 		}
 	})
 
-	It("keeps room for other lines when there are very many of one kind", func() {
+	It("reserves lines for others when there are many high-volume lines", func() {
 		var out bytes.Buffer
 		s := logsink.New(&out, 100, 10)
-		many := 0
-		for !s.Full() {
+		details := 0
+		for !s.DetailsFull() {
 			log(s, 1)
-			many++
+			details++
 		}
-		Expect(many).To(Equal(8))
+		Expect(details).To(Equal(8))
 		log(s, 2)
 		Expect(s.Dropped()).To(BeZero())
 	})
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics holds a router's counters as expvar values, with one
-// counter for each reason to refuse or retry a request.
+// Package metrics holds a router's counters as expvar values, with one counter for each reason
+// to refuse or retry a request.
 package metrics
 
 import (
@@ -17,7 +17,7 @@
 	outcomes *expvar.Map
 }
 
-// New returns a set in which every reason counts zero.
+// New returns a set in which the counter of every reason and outcome is zero.
 func New() *Metrics {
 	m := &Metrics{
 		root:     new(expvar.Map),
@@ -41,20 +41,20 @@
 	return m
 }
 
-// Refused counts a refusal.
-func (m *Metrics) Refused(r request.Reason) { m.refusals.Add(string(r), 1) }
+// CountRefusal counts a refusal.
+func (m *Metrics) CountRefusal(r request.Reason) { m.refusals.Add(string(r), 1) }
 
-// Retried counts a retry.
-func (m *Metrics) Retried(r request.Reason) { m.retries.Add(string(r), 1) }
+// CountRetry counts a retry.
+func (m *Metrics) CountRetry(r request.Reason) { m.retries.Add(string(r), 1) }
 
-// Ended counts an outcome.
-func (m *Metrics) Ended(o request.Outcome) { m.outcomes.Add(string(o), 1) }
+// CountOutcome counts an outcome.
+func (m *Metrics) CountOutcome(o request.Outcome) { m.outcomes.Add(string(o), 1) }
 
-// Refusals calls f with each reason's count that is not zero.
-func (m *Metrics) Refusals(f func(r request.Reason, n int64)) { each(m.refusals, f) }
+// EachRefusal calls f with each reason that has a nonzero number of refusals.
+func (m *Metrics) EachRefusal(f func(r request.Reason, n int64)) { each(m.refusals, f) }
 
-// Retries calls f with each reason's count that is not zero.
-func (m *Metrics) Retries(f func(r request.Reason, n int64)) { each(m.retries, f) }
+// EachRetry calls f with each reason that has a nonzero number of retries.
+func (m *Metrics) EachRetry(f func(r request.Reason, n int64)) { each(m.retries, f) }
 
 func each(counts *expvar.Map, f func(request.Reason, int64)) {
 	counts.Do(func(kv expvar.KeyValue) {
@@ -64,8 +64,8 @@
 	})
 }
 
-// Set adds a value that is worked out when it is read.
-func (m *Metrics) Set(name string, read func() any) { m.root.Set(name, expvar.Func(read)) }
+// SetFunc adds a value that is computed by read each time the metrics are read.
+func (m *Metrics) SetFunc(name string, read func() any) { m.root.Set(name, expvar.Func(read)) }
 
 // ServeHTTP writes all counters as one JSON object.
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
--- a/internal/metrics/process.go
+++ b/internal/metrics/process.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// Process is what the router's process uses.
+// Process holds the resource usage of the router's process.
 type Process struct {
-	// CPUSeconds is the processor time used so far, user and system.
+	// CPUSeconds is the user and system processor time used so far.
 	CPUSeconds float64 `json:"cpu_seconds"`
-	// ResidentBytes is the memory in use now.
+	// ResidentBytes is the resident set size.
 	ResidentBytes int64 `json:"resident_bytes"`
 	Goroutines    int   `json:"goroutines"`
 }
 
-// ReadProcess asks the system.
+// ReadProcess reads the resource usage from the operating system.
 func ReadProcess() Process {
 	return Process{
-		CPUSeconds: ProcessorTime().Seconds(), ResidentBytes: resident(), Goroutines: runtime.NumGoroutine(),
+		CPUSeconds: ProcessorTime().Seconds(), ResidentBytes: residentBytes(), Goroutines: runtime.NumGoroutine(),
 	}
 }
 
-// ProcessorTime returns the processor time that the process used so far, user
-// and system; 0 where the system does not tell.
+// ProcessorTime returns the user and system processor time that the process used so far, 0 if
+// the operating system does not report it.
 func ProcessorTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -35,8 +35,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// resident returns the resident set size, 0 where the system does not tell.
-func resident() int64 {
+// residentBytes returns the resident set size, 0 if the operating system does not report it.
+func residentBytes() int64 {
 	data, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
 		return 0
--- a/internal/quarantine/ends.go
+++ b/internal/quarantine/ends.go
@@ -11,8 +11,8 @@
 	// outage that no request caused, such as that of a zone, a switch or a power supply.
 	outageWindow     = time.Second
 	minOutageTargets = 5
-	// A request must have run at one in outageTargetsPerRun of an outage's targets to be
-	// implicated by it.
+	// A request with minCrashesToHold crashes or more in an event is implicated by it only if
+	// it ran at at least one in outageTargetsPerRun of the event's targets.
 	outageTargetsPerRun = 8
 	// decisionDelay is the wait after two targets exited at the same time until it is
 	// decided whether it was an outage: reports of other exits may be on their way.
@@ -67,8 +67,8 @@
 	})
 }
 
-// implicates reports whether the exit of a target counts against a request that ran there. An
-// outage of many targets counts against none of the requests that ran at few of them.
+// implicates reports whether the exit of a target counts against a request that ran there. The
+// outage of many targets does not count against a request that ran at only a few of them.
 func (s exits) implicates(r *entry, target string) bool {
 	at := s[target]
 	if at == nil {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -157,7 +157,7 @@
 	e.lastCrash, e.lastSeen = now, now
 }
 
-// ensureEntry returns the ensureEntry of a request, creating it if there is none.
+// ensureEntry returns the entry of a request, creating it if there is none.
 func (s *State) ensureEntry(now time.Time, k Key, organisation string) *entry {
 	e := s.entries[k]
 	if e != nil {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -74,7 +74,7 @@
 	return n
 }
 
-// failedTrials returns the number of failedTrials under which engines crashed.
+// failedTrials returns the number of trials under which engines crashed.
 func (e *entry) failedTrials() int {
 	n := 0
 	for _, c := range e.crashes {
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -12,14 +12,14 @@
 	"github.com/stepcroft/stepcroft/internal/ledger"
 )
 
-// Size of a picture.
+// Size of the plot.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
 )
 
-// Plot writes a picture of the largest gap open over time, with a line for each
-// policy, to an SVG, PNG or PDF file.
+// Plot writes a plot of the largest fairness gap over time, with a line for each policy, to a
+// file. The file's extension selects the format, such as SVG, PNG or PDF.
 func Plot(c Comparison, file string) error {
 	p := plot.New()
 	p.Title.Text = "Fairness gap, " + c.Scenario
--- a/internal/report/quantiles.go
+++ b/internal/report/quantiles.go
@@ -3,22 +3,23 @@
 import "github.com/HdrHistogram/hdrhistogram-go"
 
 const (
-	// longest is the longest time that a histogram takes, in microseconds.
-	longest = 600_000_000
-	// digits is the number of significant digits that it keeps.
-	digits = 3
+	// maxTimeMicros is the longest time that a histogram records, in microseconds.
+	maxTimeMicros = 600_000_000
+	// significantDigits is the number of decimal digits to which a histogram is exact.
+	significantDigits = 3
 )
 
-// Quantiles of a distribution of times, in milliseconds.
+// Quantiles holds quantiles of a distribution of times, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
 }
 
-// NewHistogram returns an empty histogram of times of up to ten minutes, in
-// microseconds.
-func NewHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest, digits) }
+// NewHistogram returns an empty histogram of times in microseconds, up to ten minutes.
+func NewHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxTimeMicros, significantDigits)
+}
 
 // NewQuantiles returns the quantiles of a histogram made by NewHistogram.
 func NewQuantiles(h *hdrhistogram.Histogram) Quantiles {
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,5 +1,4 @@
-// Package report holds the results of load runs and writes them as JSON,
-// tables and pictures.
+// Package report holds the results of load runs and writes them as JSON, tables and plots.
 package report
 
 import (
@@ -13,8 +12,8 @@
 	"github.com/stepcroft/stepcroft/internal/request"
 )
 
-// Omniscient is the name of the yardstick: one router that holds every
-// request and every engine, and always serves who has had least.
+// Omniscient is the name of the reference policy: a single router that has all requests and all
+// engines, and always serves the organisation that was served least.
 const Omniscient = "omniscient"
 
 // Comparison is the result of a run under one or several policies, as printed in JSON.
@@ -28,36 +27,35 @@
 // PolicyResult is the result under one policy.
 type PolicyResult struct {
 	Policy string `json:"policy"`
-	// Gap is in units of the largest request cost.
+	// Gap is the largest fairness gap, in units of the largest request cost.
 	Gap float64 `json:"gap"`
-	// GapBetween tells where and when that was.
+	// GapBetween tells between which organisations and when that gap was.
 	GapBetween ledger.Gap `json:"gap_between"`
-	// GapSeries is the largest gap open in each half second.
+	// GapSeries is the largest fairness gap in each half second.
 	GapSeries []float64 `json:"gap_series"`
-	// GapRatio is Gap over that of the omniscient queue, when that ran.
+	// GapRatio is Gap divided by the gap under the Omniscient policy, 0 if that was not run.
 	GapRatio float64 `json:"gap_ratio,omitempty"`
-	// Utilisation is the part of all slots' time that was busy.
+	// Utilisation is the fraction of all slots' time that was busy.
 	Utilisation float64 `json:"utilisation"`
-	// IdleWhileWaiting is the part of all slots' time that was idle while
-	// work for the slot's pool waited somewhere.
-	IdleWhileWaiting            float64 `json:"idle_while_waiting"`
-	ControlBytesPerRouterSecond float64 `json:"control_bytes_per_router_second"`
-	ControlMessagesPerRouterSec float64 `json:"control_messages_per_router_second"`
-	StoreCallsPerSecond         float64 `json:"store_calls_per_second"`
-	RemotePart                  float64 `json:"remote_part"`
-	// SubstitutedPart is the part of granted slots that went to another
-	// organisation than they were for.
-	SubstitutedPart float64                `json:"substituted_part"`
-	DeclinedPart    float64                `json:"declined_part"`
-	Completed       int                    `json:"completed"`
-	Late            int                    `json:"late"`
-	Refused         map[request.Reason]int `json:"refused"`
-	Lost            int                    `json:"lost"`
-	Doubled         int                    `json:"doubled"`
-	Wrong           int                    `json:"wrong"`
-	NotRunButRan    int                    `json:"not_run_but_ran"`
-	// Violations is the number of times that an invariant was broken inside
-	// the routers.
+	// IdleWhileWaiting is the fraction of all slots' time that was idle while a request for
+	// the slot's pool waited at some router.
+	IdleWhileWaiting               float64 `json:"idle_while_waiting"`
+	ControlBytesPerRouterSecond    float64 `json:"control_bytes_per_router_second"`
+	ControlMessagesPerRouterSecond float64 `json:"control_messages_per_router_second"`
+	StoreCallsPerSecond            float64 `json:"store_calls_per_second"`
+	RemoteFraction                 float64 `json:"remote_part"`
+	// SubstitutedFraction is the fraction of granted slots that were used for another
+	// organisation than they were granted for.
+	SubstitutedFraction float64                `json:"substituted_part"`
+	DeclinedFraction    float64                `json:"declined_part"`
+	Completed           int                    `json:"completed"`
+	Late                int                    `json:"late"`
+	Refused             map[request.Reason]int `json:"refused"`
+	Lost                int                    `json:"lost"`
+	Doubled             int                    `json:"doubled"`
+	Wrong               int                    `json:"wrong"`
+	NotRunButRan        int                    `json:"not_run_but_ran"`
+	// Violations is the number of invariant violations inside the routers.
 	Violations      int64                `json:"violations"`
 	Unfinished      int                  `json:"unfinished"`
 	FirstTokenMS    Quantiles            `json:"first_token_ms"`
@@ -67,19 +65,19 @@
 	Seconds         float64              `json:"seconds"`
 }
 
-// RouterResult is one router's part of a result.
+// RouterResult is the result of one router.
 type RouterResult struct {
 	Router string `json:"router"`
-	// Engines is the number of engines it owned at the end.
+	// Engines is the number of engines that it owned at the end.
 	Engines               int     `json:"engines"`
 	ControlBytesPerSecond float64 `json:"control_bytes_per_second"`
-	// Local is the number of requests that it dispatched without a message,
-	// Granted the number of slots that it offered to others.
+	// Local is the number of requests that it dispatched to its own engines, without a message
+	// to another router. Granted is the number of slots that it offered to other routers.
 	Local   int64 `json:"local"`
 	Granted int64 `json:"granted"`
 }
 
-// OrganisationResult is one organisation's part of a result.
+// OrganisationResult is the result of one organisation.
 type OrganisationResult struct {
 	Organisation string                 `json:"organisation"`
 	Weight       float64                `json:"weight"`
@@ -89,7 +87,7 @@
 	FirstTokenMS Quantiles              `json:"first_token_ms"`
 }
 
-// Compare fills in the ratios to the omniscient queue.
+// Compare fills in the gap ratios, if the Omniscient policy was run.
 func (r *Comparison) Compare() {
 	i := slices.IndexFunc(r.Policies, func(p PolicyResult) bool { return p.Policy == Omniscient })
 	if i < 0 || r.Policies[i].Gap == 0 {
@@ -112,7 +110,7 @@
 		}
 		fmt.Fprintf(t, "%s\t%.2f\t%.2f\t%.3f\t%.4f\t%.0f\t%.1f\t%.2f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t\n",
 			p.Policy, p.Gap, p.GapRatio, p.Utilisation, p.IdleWhileWaiting, p.ControlBytesPerRouterSecond,
-			p.StoreCallsPerSecond, p.RemotePart, p.DeclinedPart, p.Completed, p.Late, refused, p.Lost, p.Doubled,
+			p.StoreCallsPerSecond, p.RemoteFraction, p.DeclinedFraction, p.Completed, p.Late, refused, p.Lost, p.Doubled,
 			p.Wrong+p.NotRunButRan, p.FirstTokenMS.P95, p.BetweenTokensMS.P95)
 	}
 	return t.Flush()
@@ -144,6 +142,7 @@
 	return t.Flush()
 }
 
+// reasons returns the counts as text, "-" if there are none.
 func reasons(counts map[request.Reason]int) string {
 	text := ""
 	for _, r := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -17,7 +17,7 @@
 }
 
 var _ = Describe("Plot", func() {
-	It("writes a picture with a line for each policy", func() {
+	It("writes a plot with a line for each policy", func() {
 		file := filepath.Join(GinkgoT().TempDir(), "gap.svg")
 		c := report.Comparison{Scenario: "s", Policies: []report.PolicyResult{
 			{Policy: "local", GapSeries: []float64{1, 2, 3}}, {Policy: "share", GapSeries: []float64{1, 1, 1}},
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -136,7 +136,7 @@
 
 // rejectConnection refuses requests on connections beyond the maximum.
 func (r *Router) rejectConnection(w http.ResponseWriter, _ *http.Request) {
-	r.metrics.Refused(request.ReasonProcessFull)
+	r.metrics.CountRefusal(request.ReasonProcessFull)
 	refuse(w, request.ReasonProcessFull, "too many connections")
 }
 
@@ -236,12 +236,12 @@
 
 // publishMetrics registers the metrics that are computed when they are read.
 func (r *Router) publishMetrics() {
-	r.metrics.Set("control", func() any { return r.Status() })
-	r.metrics.Set("peers", func() any { return r.peers.Stats() })
-	r.metrics.Set("config", func() any { return r.syncer.Stats() })
-	r.metrics.Set("violations", func() any { return json.RawMessage(invariant.Violations().String()) })
-	r.metrics.Set("process", func() any { return metrics.ReadProcess() })
-	r.metrics.Set("callers", func() any { return callerStats{r.handler.Working()} })
+	r.metrics.SetFunc("control", func() any { return r.Status() })
+	r.metrics.SetFunc("peers", func() any { return r.peers.Stats() })
+	r.metrics.SetFunc("config", func() any { return r.syncer.Stats() })
+	r.metrics.SetFunc("violations", func() any { return json.RawMessage(invariant.Violations().String()) })
+	r.metrics.SetFunc("process", func() any { return metrics.ReadProcess() })
+	r.metrics.SetFunc("callers", func() any { return callerStats{r.handler.Working()} })
 }
 
 // callerStats is the published state of callers' requests.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -260,7 +260,7 @@
 		})
 		Eventually(func() int64 {
 			retried := int64(0)
-			s.routers[0].Metrics().Retries(func(r request.Reason, n int64) {
+			s.routers[0].Metrics().EachRetry(func(r request.Reason, n int64) {
 				if r == request.RetryBroken {
 					retried = n
 				}
@@ -443,7 +443,7 @@
 
 	It("counts refusals by reason", func() {
 		var out bytes.Buffer
-		s.routers[0].Metrics().Refusals(func(r request.Reason, n int64) { fmt.Fprintln(&out, r, n) })
+		s.routers[0].Metrics().EachRefusal(func(r request.Reason, n int64) { fmt.Fprintln(&out, r, n) })
 		Expect(out.String()).To(ContainSubstring("bad-request"))
 		Expect(invariant.Total()).To(BeZero())
 	})
