--- a/internal/ingress/listener.go
+++ b/internal/ingress/listener.go
@@ -146,7 +146,7 @@
 // are to be refused. It returns false, and has done nothing, if the HTTP server is to serve the
 // connection.
 func (s *Server) refuseComplete(c earlyConn, arrived []byte) bool {
-	h, size, ok := parseHead(arrived, &s.dialect)
+	h, size, ok := parseHead(arrived, &s.headerNames)
 	if !ok || h.bodyLength != len(arrived)-size || s.closing.Load() {
 		return false
 	}
@@ -181,7 +181,7 @@
 	}
 	// An error means that the caller has disconnected.
 	_ = c.Close()
-	s.observer.Ended(r, v, 0)
+	s.observer.RequestEnded(r, v, 0)
 }
 
 // rejectionCounter counts rejected connections. lastLogged is the Unix time, in seconds, at
