--- a/internal/adapter/httpcaller/answer.go
+++ b/internal/adapter/httpcaller/answer.go
@@ -10,16 +10,17 @@
 	"github.com/stepcroft/stepcroft/internal/request"
 )
 
-// refusal is an answer to a request that does not end as the caller hoped.
+// refusal is an error answer: why the request was not completed and whether it ran.
 type refusal struct {
 	reason  request.Reason
 	outcome request.Outcome
 	detail  string
-	// after is when to come back, in seconds; 0 means the reason's default.
-	after int
+	// retryAfterSeconds is the delay before the caller should retry; 0 means the default of
+	// the reason.
+	retryAfterSeconds int
 }
 
-// errorBody is the body of a refusal, in the common JSON shape.
+// errorBody is the JSON body of a refusal, with the error object that chat completion APIs use.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -28,7 +29,7 @@
 	Message string          `json:"message"`
 	Reason  request.Reason  `json:"reason"`
 	Outcome request.Outcome `json:"outcome"`
-	// RetryAfterSeconds is 0 where coming back will not help.
+	// RetryAfterSeconds is 0 if a retry would not help.
 	RetryAfterSeconds int `json:"retry_after_seconds,omitempty"`
 }
 
@@ -38,14 +39,16 @@
 	}}
 }
 
+// retryAfter returns the delay before a retry in seconds, or 0 if a retry would not help.
 func (f refusal) retryAfter() int {
-	if f.after > 0 {
-		return f.after
+	if f.retryAfterSeconds > 0 {
+		return f.retryAfterSeconds
 	}
 	return f.reason.RetryAfterSeconds()
 }
 
-// refuse writes a refusal as a whole answer. An outcome not said is not-run.
+// refuse writes a refusal as the answer. The outcome defaults to not-run, the detail to the
+// reason.
 func (h *Handler) refuse(w http.ResponseWriter, f refusal) {
 	if f.outcome == "" {
 		f.outcome = request.NotRun
@@ -62,18 +65,18 @@
 	writeJSON(w, f.reason.Status(), f.body())
 }
 
-// Causes for which a request's context ends before its deadline.
+// Causes with which a request's context is cancelled before its deadline.
 var (
-	errCancelled = errors.New("cancelled by id")
-	errGone      = errors.New("caller closed the connection")
+	errCancelled  = errors.New("cancelled by id")
+	errCallerGone = errors.New("caller closed the connection")
 )
 
-// reasonOf returns why a request's context ended.
-func reasonOf(ctx context.Context) request.Reason {
+// endReason returns the reason for which a request's context ended.
+func endReason(ctx context.Context) request.Reason {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, errCancelled):
 		return request.ReasonCancelled
-	case errors.Is(cause, errGone):
+	case errors.Is(cause, errCallerGone):
 		return request.ReasonCallerGone
 	default:
 		return request.ReasonDeadline
--- a/internal/adapter/httpcaller/chat.go
+++ b/internal/adapter/httpcaller/chat.go
@@ -16,19 +16,19 @@
 	"github.com/stepcroft/stepcroft/internal/request"
 )
 
-// gonePoll is how often a waiting request looks whether its caller is still
-// there; nbhttp reports a closed connection only after the handler returns.
-const gonePoll = 500 * time.Millisecond
+// callerPollInterval is how often a waiting request checks whether its caller has closed the
+// connection: nbhttp reports that only after the handler has returned.
+const callerPollInterval = 500 * time.Millisecond
 
-// chatRequest is the part of a completion request that the router reads.
+// chatRequest holds the fields of a completion request that the router reads.
 type chatRequest struct {
 	Model    string            `json:"model"`
 	Messages []json.RawMessage `json:"messages"`
 	Stream   bool              `json:"stream"`
 }
 
-// parseChat reads a completion request and returns the body for the engine,
-// which is always asked to stream, so that its progress can be followed.
+// parseChat parses a completion request and returns the body to send to the engine. That body
+// always asks for a stream, so that the router can count the tokens as they are generated.
 func parseChat(body []byte) (chatRequest, []byte, error) {
 	var c chatRequest
 	if err := json.Unmarshal(body, &c); err != nil {
@@ -50,22 +50,22 @@
 	return c, out, errors.Wrap(err, "write body for the engine")
 }
 
-// chat answers a completion request.
+// chat serves a completion request.
 func (h *Handler) chat(w http.ResponseWriter, r *http.Request, o config.Organisation) {
 	now := clock.Now()
-	t, err := readTerms(r.Header, true, now)
+	opts, err := parseOptions(r.Header, true, now)
 	if err != nil {
-		h.refuse(w, refusalOf(err))
+		h.refuse(w, refusalFor(err))
 		return
 	}
 	body, err := readBody(r)
 	if err != nil {
-		h.refuse(w, refusalOf(err))
+		h.refuse(w, refusalFor(err))
 		return
 	}
 	c, engineBody, err := parseChat(body)
 	if err != nil {
-		h.refuse(w, refusalOf(err))
+		h.refuse(w, refusalFor(err))
 		return
 	}
 	pool, ok := h.Core.Snapshot().Pool(c.Model)
@@ -73,44 +73,45 @@
 		h.refuse(w, refusal{reason: request.ReasonUnknownModel, detail: "field model: no pool serves " + c.Model})
 		return
 	}
-	j, ok := h.open(w, r, o, t)
+	j, ok := h.accept(w, r, o, opts)
 	if !ok {
 		return
 	}
 	x := &exchange{
 		handler: h, job: j, writer: w,
-		sink: newSink(w, c, j.id, t.id != nil),
-		body: engineBody, pool: pool, engineRank: o.Priority,
+		sink: newSink(w, c, j.id, opts.id != nil),
+		body: engineBody, pool: pool, enginePriority: o.Priority,
 		ticket: request.NewTicket(request.TicketSpec{
-			ID: j.id, Organisation: o.Name, Pool: pool.Name, Priority: t.priority,
-			Deadline: t.deadline, Arrived: now, CostHint: t.hint,
+			ID: j.id, Organisation: o.Name, Pool: pool.Name, Priority: opts.priority,
+			Deadline: opts.deadline, Arrived: now, CostHint: opts.costHint,
 		}),
 	}
-	h.close(j, x.run())
+	h.finish(j, x.run())
 }
 
-// exchange is one completion request on its way through the router.
+// exchange handles one completion request from its queueing to its answer.
 type exchange struct {
-	handler    *Handler
-	job        *job
-	writer     http.ResponseWriter
-	sink       sink
-	body       []byte
-	pool       config.Pool
-	engineRank int
-	ticket     *request.Ticket
-	// seen is set once a target may have run the request.
-	seen bool
-	// events is the number of events received from the engine that runs it.
+	handler        *Handler
+	job            *job
+	writer         http.ResponseWriter
+	sink           sink
+	body           []byte
+	pool           config.Pool
+	enginePriority int
+	ticket         *request.Ticket
+	// mayHaveRun is set once an engine may have run the request.
+	mayHaveRun bool
+	// events is the number of events received in the current attempt.
 	events int
 }
 
-// run brings the request to its end and returns the record of it.
+// run queues the request, sends it to engines until it succeeds or fails for good, and returns
+// its record.
 func (x *exchange) run() request.Record {
 	x.handler.Budget.Earn()
 	x.handler.Core.Submit(x.ticket)
 	for {
-		d := x.await()
+		d := x.awaitDecision()
 		if d.Refused != "" {
 			return x.refuse(d.Refused, "", d.RetryAfterSeconds)
 		}
@@ -123,11 +124,11 @@
 	}
 }
 
-// await waits for the control thread's decision. However the wait ends, the
-// control thread has the last word: a slot that came first must be used or
-// given back.
-func (x *exchange) await() request.Decision {
-	poll := time.NewTicker(gonePoll)
+// awaitDecision waits for the control thread's decision. If the request's context ends, it asks
+// the control thread to cancel the request and still waits for the decision: a slot granted
+// before the cancellation must be used or released.
+func (x *exchange) awaitDecision() request.Decision {
+	poll := time.NewTicker(callerPollInterval)
 	defer poll.Stop()
 	done := x.job.ctx.Done()
 	for {
@@ -135,26 +136,26 @@
 		case d := <-x.ticket.Decision:
 			return d
 		case <-done:
-			x.handler.Core.Cancel(x.ticket, reasonOf(x.job.ctx))
+			x.handler.Core.Cancel(x.ticket, endReason(x.job.ctx))
 			done = nil
 		case <-poll.C:
 			if httpserver.Gone(x.writer) {
-				x.job.cancel(errGone)
+				x.job.cancel(errCallerGone)
 			}
 		}
 	}
 }
 
-// attempt sends the request to one engine. It returns a reason to try again,
-// or the record of the request's end.
+// attempt sends the request to one engine. It returns either the reason for a retry or, if the
+// request has ended, its record.
 func (x *exchange) attempt(d request.Decision) (request.Reason, request.Record) {
 	if x.job.ctx.Err() != nil {
 		x.handler.Core.Finish(x.ticket, request.RunEnd{})
-		return "", x.refuse(reasonOf(x.job.ctx), "", 0)
+		return "", x.refuse(endReason(x.job.ctx), "", 0)
 	}
-	invariant.Check(!x.seen || x.job.terms.repeatable, invariant.RunsOnce)
+	invariant.Check(!x.mayHaveRun || x.job.options.repeatable, invariant.RunsOnce)
 	x.events = 0
-	x.sink.restart()
+	x.sink.reset()
 	x.ticket.ServedCost.Store(0)
 	err := x.send(d.Address)
 	for try := 0; try < maxResumes && x.resumable(err); try++ {
@@ -164,61 +165,61 @@
 	if err == nil {
 		return "", x.complete()
 	}
-	return x.failed(err)
+	return x.handleFailure(err)
 }
 
-// maxResumes is how often one broken answer is asked to be continued.
+// maxResumes is how often an engine is asked to continue the same answer that broke off.
 const maxResumes = 2
 
-// send sends the request to an engine, or asks it to continue its answer, and
-// passes on what comes.
+// send sends the request to an engine and forwards the events of the answer. After events have
+// been received it asks the engine to continue its answer instead.
 func (x *exchange) send(address string) error {
 	stream, err := x.handler.Engine.Complete(x.job.ctx, address, port.Completion{
-		ID: x.job.id.String(), Priority: x.engineRank, Body: x.body, ResumeFrom: x.events,
+		ID: x.job.id.String(), Priority: x.enginePriority, Body: x.body, ResumeFrom: x.events,
 	})
 	if err != nil {
 		return err
 	}
 	defer stream.Close()
-	x.seen = true
-	return x.pass(stream)
+	x.mayHaveRun = true
+	return x.forwardEvents(stream)
 }
 
-// resume asks an engine to continue. Where it refuses, the answer is as broken
-// as it was: that nothing was run now says nothing of the first time.
-func (x *exchange) resume(address string, broken error) error {
+// resume asks an engine to continue its answer. If the engine refuses or is unreachable, resume
+// returns the original error: the resume did not run, but the original request did.
+func (x *exchange) resume(address string, original error) error {
 	err := x.send(address)
 	if errors.Is(err, port.ErrNotSent) || errors.Is(err, port.ErrRefused) {
-		return broken
+		return original
 	}
 	return err
 }
 
-// resumable reports whether an answer broke off that its engine may continue.
-// That is no second run, so it is done for requests of any kind.
+// resumable reports whether the engine may be able to continue the answer that broke off. That
+// is not a second run, so it is allowed for requests that are not repeatable, too.
 func (x *exchange) resumable(err error) bool {
 	return errors.Is(err, port.ErrBroken) && x.events > 0 && x.job.ctx.Err() == nil
 }
 
-// failed decides what becomes of a request whose attempt failed.
-func (x *exchange) failed(err error) (request.Reason, request.Record) {
+// handleFailure decides after a failed attempt whether the request is retried or refused.
+func (x *exchange) handleFailure(err error) (request.Reason, request.Record) {
 	x.handler.Log.V(1).Info("attempt failed", "request", x.job.id.String(), "cause", err.Error())
 	notRun := errors.Is(err, port.ErrNotSent) || errors.Is(err, port.ErrRefused)
 	if !notRun {
-		x.seen = true
+		x.mayHaveRun = true
 	}
 	if x.job.ctx.Err() != nil {
-		x.handler.Core.Finish(x.ticket, request.RunEnd{Cost: x.cost(), Partial: x.seen})
-		return "", x.refuse(reasonOf(x.job.ctx), "", 0)
+		x.handler.Core.Finish(x.ticket, request.RunEnd{Cost: x.servedCost(), Partial: x.mayHaveRun})
+		return "", x.refuse(endReason(x.job.ctx), "", 0)
 	}
 	reason := retryReason(err)
-	again := notRun || x.job.terms.repeatable && !x.sink.begun()
-	if again && x.handler.Budget.Spend() {
+	retryable := notRun || x.job.options.repeatable && !x.sink.started()
+	if retryable && x.handler.Budget.Spend() {
 		return reason, request.Record{}
 	}
-	x.handler.Core.Finish(x.ticket, request.RunEnd{Cost: x.cost(), Partial: x.seen, Failed: true})
+	x.handler.Core.Finish(x.ticket, request.RunEnd{Cost: x.servedCost(), Partial: x.mayHaveRun, Failed: true})
 	switch {
-	case again:
+	case retryable:
 		return "", x.refuse(request.ReasonRetryBudget, err.Error(), 0)
 	case errors.Is(err, port.ErrRefused):
 		return "", x.refuse(request.ReasonTargetRefused, err.Error(), 0)
@@ -227,6 +228,7 @@
 	}
 }
 
+// retryReason returns the reason under which a retry after err is counted.
 func retryReason(err error) request.Reason {
 	switch {
 	case errors.Is(err, port.ErrNotSent):
@@ -238,11 +240,11 @@
 	}
 }
 
-// cost returns what has been streamed so far, in cost units.
-func (x *exchange) cost() float64 { return float64(x.ticket.ServedCost.Load()) }
+// servedCost returns the cost of what has been streamed so far, in cost units.
+func (x *exchange) servedCost() float64 { return float64(x.ticket.ServedCost.Load()) }
 
-// pass hands the engine's events on until the answer ends.
-func (x *exchange) pass(stream port.Stream) error {
+// forwardEvents forwards the engine's events to the sink until the answer ends.
+func (x *exchange) forwardEvents(stream port.Stream) error {
 	for {
 		data, err := stream.Next()
 		if errors.Is(err, io.EOF) {
@@ -257,34 +259,35 @@
 			return err
 		}
 		if httpserver.Gone(x.writer) {
-			x.job.cancel(errGone)
-			return errGone
+			x.job.cancel(errCallerGone)
+			return errCallerGone
 		}
 	}
 }
 
-// complete gives the whole answer and books its exact cost.
+// complete finishes the answer and reports the request's cost: by the engine's token counts if
+// it sent them, otherwise by the number of events.
 func (x *exchange) complete() request.Record {
-	cost := x.cost()
-	if u := x.sink.used(); u.Completion > 0 {
+	cost := x.servedCost()
+	if u := x.sink.reportedUsage(); u.Completion > 0 {
 		cost = float64(u.Prompt)*x.pool.PromptCost + float64(u.Completion)
 	}
 	x.handler.Core.Finish(x.ticket, request.RunEnd{Cost: cost})
-	return x.sink.end()
+	return x.sink.finish()
 }
 
-// refuse ends the request with an error: as an answer of its own, or inside
-// a stream that has begun.
-func (x *exchange) refuse(reason request.Reason, detail string, after int) request.Record {
-	f := refusal{reason: reason, outcome: request.NotRun, detail: detail, after: after}
-	if x.seen {
+// refuse ends the request with an error: as the answer, or as an event if a streamed answer has
+// already started.
+func (x *exchange) refuse(reason request.Reason, detail string, retryAfterSeconds int) request.Record {
+	f := refusal{reason: reason, outcome: request.NotRun, detail: detail, retryAfterSeconds: retryAfterSeconds}
+	if x.mayHaveRun {
 		f.outcome = request.Unknown
 	}
 	if f.detail == "" {
 		f.detail = "request was not completed: " + string(reason)
 	}
-	invariant.Check(f.outcome != request.NotRun || !x.sink.begun(), invariant.NotRunIsTrue)
-	if x.sink.begun() {
+	invariant.Check(f.outcome != request.NotRun || !x.sink.started(), invariant.NotRunIsTrue)
+	if x.sink.started() {
 		x.handler.Metrics.Refused(reason)
 		x.sink.abort(f)
 	} else {
--- a/internal/adapter/httpcaller/headers.go
+++ b/internal/adapter/httpcaller/headers.go
@@ -12,78 +12,81 @@
 )
 
 const (
-	// maxBody is the largest body accepted, in bytes.
+	// maxBody is the maximum size of a request body, in bytes.
 	maxBody = 1 << 20
-	// defaultDeadline holds where the caller sets none.
+	// defaultDeadline applies if the caller sets no deadline.
 	defaultDeadline = 60 * time.Second
-	// maxDeadline is the longest that a caller may set.
+	// maxDeadline is the longest deadline that a caller may set.
 	maxDeadline = 30 * time.Minute
 	maxPriority = 9
 	// maxCostHint is the largest cost hint, in generated tokens.
 	maxCostHint = 1e6
 )
 
-// terms are what a caller says about a request in headers.
-type terms struct {
+// requestOptions are the settings of a request that the caller gives in headers.
+type requestOptions struct {
 	deadline   time.Time
 	repeatable bool
 	priority   int
-	hint       float64
-	id         *request.ID
+	// costHint is the caller's estimate of the cost, in generated tokens; 0 means none.
+	costHint float64
+	// id is the id that the caller reserved, or nil.
+	id *request.ID
 }
 
-// readTerms reads the headers; an error names the header at fault.
-func readTerms(header http.Header, repeatable bool, now time.Time) (terms, error) {
-	t := terms{deadline: now.Add(defaultDeadline), repeatable: repeatable}
-	if text := header.Get(HeaderDeadline); text != "" {
-		d, err := time.ParseDuration(text)
+// parseOptions reads the options from the headers. repeatable is the default of the option of
+// that name. An error names the invalid header.
+func parseOptions(header http.Header, repeatable bool, now time.Time) (requestOptions, error) {
+	opts := requestOptions{deadline: now.Add(defaultDeadline), repeatable: repeatable}
+	if value := header.Get(HeaderDeadline); value != "" {
+		d, err := time.ParseDuration(value)
 		if err != nil || d <= 0 || d > maxDeadline {
-			return t, errors.Errorf("header %s: %q is no duration such as 1500ms, above 0 and at most %s",
-				HeaderDeadline, text, maxDeadline)
+			return opts, errors.Errorf("header %s: %q is no duration such as 1500ms, above 0 and at most %s",
+				HeaderDeadline, value, maxDeadline)
 		}
-		t.deadline = now.Add(d)
+		opts.deadline = now.Add(d)
 	}
-	if text := header.Get(HeaderRepeatable); text != "" {
-		b, err := strconv.ParseBool(text)
+	if value := header.Get(HeaderRepeatable); value != "" {
+		b, err := strconv.ParseBool(value)
 		if err != nil {
-			return t, errors.Errorf("header %s: %q is neither true nor false", HeaderRepeatable, text)
+			return opts, errors.Errorf("header %s: %q is neither true nor false", HeaderRepeatable, value)
 		}
-		t.repeatable = b
+		opts.repeatable = b
 	}
-	if text := header.Get(HeaderPriority); text != "" {
-		n, err := strconv.Atoi(text)
+	if value := header.Get(HeaderPriority); value != "" {
+		n, err := strconv.Atoi(value)
 		if err != nil || n < 0 || n > maxPriority {
-			return t, errors.Errorf("header %s: %q is no whole number from 0 to %d", HeaderPriority, text, maxPriority)
+			return opts, errors.Errorf("header %s: %q is no whole number from 0 to %d", HeaderPriority, value, maxPriority)
 		}
-		t.priority = n
+		opts.priority = n
 	}
-	if text := header.Get(HeaderCostHint); text != "" {
-		x, err := strconv.ParseFloat(text, 64)
+	if value := header.Get(HeaderCostHint); value != "" {
+		x, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(x > 0 && x <= maxCostHint) {
-			return t, errors.Errorf("header %s: %q is no number of tokens above 0 and at most %g",
-				HeaderCostHint, text, maxCostHint)
+			return opts, errors.Errorf("header %s: %q is no number of tokens above 0 and at most %g",
+				HeaderCostHint, value, maxCostHint)
 		}
-		t.hint = x
+		opts.costHint = x
 	}
-	return readID(header, t)
+	return parseRequestID(header, opts)
 }
 
-func readID(header http.Header, t terms) (terms, error) {
-	text := header.Get(HeaderRequestID)
-	if text == "" {
-		return t, nil
+func parseRequestID(header http.Header, opts requestOptions) (requestOptions, error) {
+	value := header.Get(HeaderRequestID)
+	if value == "" {
+		return opts, nil
 	}
-	id, err := request.ParseID(text)
+	id, err := request.ParseID(value)
 	if err != nil {
-		return t, errors.Wrapf(err, "header %s", HeaderRequestID)
+		return opts, errors.Wrapf(err, "header %s", HeaderRequestID)
 	}
-	t.id = &id
-	return t, nil
+	opts.id = &id
+	return opts, nil
 }
 
 var errTooLarge = errors.Errorf("body is larger than %d bytes", maxBody)
 
-// readBody reads a body of bounded size.
+// readBody reads the request body, up to maxBody bytes.
 func readBody(r *http.Request) ([]byte, error) {
 	if r.ContentLength > maxBody {
 		return nil, errTooLarge
@@ -98,8 +101,8 @@
 	return body, nil
 }
 
-// refusalOf turns an error in reading a request into a refusal.
-func refusalOf(err error) refusal {
+// refusalFor returns the refusal for an error from parsing a request.
+func refusalFor(err error) refusal {
 	if errors.Is(err, errTooLarge) {
 		return refusal{reason: request.ReasonBodyTooLarge, detail: err.Error()}
 	}
--- a/internal/adapter/httpcaller/httpcaller.go
+++ b/internal/adapter/httpcaller/httpcaller.go
@@ -1,6 +1,6 @@
-// Package httpcaller is the interface for callers: chat completions, calls
-// to plain services, asking again by id, and the answer to which addresses
-// to use. docs/CALLERS.md describes it.
+// Package httpcaller is the HTTP API for callers: chat completions, calls to plain services,
+// status and cancellation of requests by id, and the list of router addresses. docs/CALLERS.md
+// describes it.
 package httpcaller
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/stepcroft/stepcroft/internal/request"
 )
 
-// Headers that callers send and get.
+// Headers of requests from callers and of answers to them.
 const (
 	HeaderRequestID  = "Stepcroft-Request-Id"
 	HeaderDeadline   = "Stepcroft-Deadline"
@@ -32,29 +32,28 @@
 	HeaderReason     = "Stepcroft-Reason"
 )
 
-// AddressLifetime is how long callers may keep the answer to which addresses
-// to use.
+// AddressLifetime is how long callers may cache the list of router addresses.
 const AddressLifetime = 10 * time.Second
 
-// Core is what the interface needs of the router's control thread.
+// Core is the part of the router's control thread that the handler uses.
 type Core interface {
-	// Submit queues a request; the answer comes over its Decision channel.
+	// Submit queues a request; the decision is sent on its Decision channel.
 	Submit(t *request.Ticket)
-	// Cancel takes a request out of its queue, if it still waits.
+	// Cancel removes a request from its queue if it is still waiting there.
 	Cancel(t *request.Ticket, reason request.Reason)
-	// Retry queues a request again that is to run on another engine.
+	// Retry queues a request again after a failed attempt, to run on another engine.
 	Retry(t *request.Ticket)
-	// Finish frees the slot of a request that ended.
+	// Finish releases the slot of a request that ended.
 	Finish(t *request.Ticket, end request.RunEnd)
 	// Snapshot returns the configuration in force.
 	Snapshot() config.Snapshot
-	// Members returns the routers that callers may use.
+	// Members returns the routers to which callers may send requests.
 	Members() []member.Member
-	// Lookup returns another router by its name, if it is alive.
+	// Lookup returns another router by its name if it is alive.
 	Lookup(router string) (member.Member, bool)
 }
 
-// Options are the parts a Handler is made of.
+// Options are the dependencies of a Handler.
 type Options struct {
 	Core    Core
 	Self    member.Member
@@ -66,45 +65,49 @@
 	Log     logr.Logger
 }
 
-// Handler answers callers. Use New to make one.
+// Handler serves requests from callers. Create one with New.
 type Handler struct {
 	Options
-	number  atomic.Uint64
-	busy    inFlight
-	working atomic.Int64
+	// lastNumber is the number in the id handed out last.
+	lastNumber atomic.Uint64
+	// inFlight counts calls to plain services.
+	inFlight     inFlightCounter
+	openRequests atomic.Int64
 }
 
 // New returns a handler.
 func New(o Options) *Handler { return &Handler{Options: o} }
 
-// Working returns the number of requests being answered.
-func (h *Handler) Working() int { return int(h.working.Load()) }
+// OpenRequests returns the number of requests in progress.
+func (h *Handler) OpenRequests() int { return int(h.openRequests.Load()) }
 
-// ServeHTTP answers a call.
+// ServeHTTP routes a request by its path and method.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	h.working.Add(1)
-	defer h.working.Add(-1)
+	h.openRequests.Add(1)
+	defer h.openRequests.Add(-1)
 	path := r.URL.Path
 	switch {
 	case path == "/v1/addresses" && r.Method == http.MethodGet:
 		h.addresses(w, r)
 	case path == "/v1/chat/completions" && r.Method == http.MethodPost:
-		h.authorized(w, r, h.chat)
+		h.authenticated(w, r, h.chat)
 	case strings.HasPrefix(path, servicePrefix):
-		h.authorized(w, r, h.service)
+		h.authenticated(w, r, h.service)
 	case path == "/v1/requests" && r.Method == http.MethodPost:
-		h.authorized(w, r, h.reserve)
+		h.authenticated(w, r, h.reserve)
 	case strings.HasPrefix(path, requestPrefix):
-		h.authorized(w, r, h.ask)
+		h.authenticated(w, r, h.requestByID)
 	default:
 		h.refuse(w, refusal{reason: request.ReasonUnknownPath, detail: "no such path or method: " + r.Method + " " + path})
 	}
 }
 
-// organisationHandler answers a call of a known organisation.
+// organisationHandler serves a request from an authenticated organisation.
 type organisationHandler func(w http.ResponseWriter, r *http.Request, o config.Organisation)
 
-func (h *Handler) authorized(w http.ResponseWriter, r *http.Request, next organisationHandler) {
+// authenticated calls next with the organisation whose API key the request carries, or refuses
+// the request.
+func (h *Handler) authenticated(w http.ResponseWriter, r *http.Request, next organisationHandler) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		h.refuse(w, refusal{reason: request.ReasonUnknownKey, detail: "header Authorization: want Bearer and an API key"})
@@ -118,40 +121,40 @@
 	next(w, r, o)
 }
 
-// Address is one entry of the answer to which addresses to use.
+// Address is one router in the list of addresses.
 type Address struct {
 	Router  string `json:"router"`
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
 }
 
-// Addresses is the answer to which addresses to use.
+// Addresses is the list of routers that callers may use.
 type Addresses struct {
 	Addresses []Address `json:"addresses"`
-	// LifetimeSeconds is how long the answer may be kept.
+	// LifetimeSeconds is how long callers may cache the list.
 	LifetimeSeconds int `json:"lifetime_seconds"`
 }
 
-// addresses lists the routers, those of the caller's availability zone
-// first, in random order, so that callers spread out.
+// addresses lists the routers in random order, which spreads callers over them, with those of
+// the caller's availability zone first.
 func (h *Handler) addresses(w http.ResponseWriter, r *http.Request) {
 	zone := r.URL.Query().Get("zone")
 	if zone == "" {
 		zone = h.Self.Zone
 	}
-	var near, far []Address
+	var sameZone, otherZones []Address
 	members := h.Core.Members()
 	for _, i := range rand.Perm(len(members)) {
 		m := members[i]
 		a := Address{Router: string(m.ID), Zone: m.Zone, Address: m.Address}
 		if m.Zone == zone {
-			near = append(near, a)
+			sameZone = append(sameZone, a)
 			continue
 		}
-		far = append(far, a)
+		otherZones = append(otherZones, a)
 	}
 	writeJSON(w, http.StatusOK, Addresses{
-		Addresses:       append(near, far...),
+		Addresses:       append(sameZone, otherZones...),
 		LifetimeSeconds: int(AddressLifetime.Seconds()),
 	})
 }
--- a/internal/adapter/httpcaller/requests.go
+++ b/internal/adapter/httpcaller/requests.go
@@ -12,39 +12,40 @@
 
 const requestPrefix = "/v1/requests/"
 
-// requestStatus is the answer about a request whose answer is not at hand.
+// requestStatus is the status of a request, sent where its answer cannot be sent.
 type requestStatus struct {
 	ID      string          `json:"id"`
 	Outcome request.Outcome `json:"outcome"`
 	Reason  request.Reason  `json:"reason,omitempty"`
-	// Truncated is set where the answer was too large to keep.
+	// Truncated is set if the answer was not stored completely.
 	Truncated bool `json:"truncated,omitempty"`
 }
 
+// newID returns a request id that is unique among all routers and incarnations.
 func (h *Handler) newID() request.ID {
 	return request.ID{
 		Router:      string(h.Self.ID),
 		Incarnation: h.Self.Incarnation,
-		Number:      h.number.Add(1),
+		Number:      h.lastNumber.Add(1),
 	}
 }
 
-// reserve hands out an id to use for a request that must run at most once.
+// reserve hands out an id with which the caller can send a request that runs at most once.
 func (h *Handler) reserve(w http.ResponseWriter, _ *http.Request, o config.Organisation) {
 	id := h.newID()
 	h.Records.Reserve(id, o.Name)
 	writeJSON(w, http.StatusOK, requestStatus{ID: id.String(), Outcome: request.NotRun})
 }
 
-// ask answers a caller that asks again by id, or cancels.
-func (h *Handler) ask(w http.ResponseWriter, r *http.Request, o config.Organisation) {
+// requestByID returns the stored answer or the status of a request, or cancels it.
+func (h *Handler) requestByID(w http.ResponseWriter, r *http.Request, o config.Organisation) {
 	id, err := request.ParseID(strings.TrimPrefix(r.URL.Path, requestPrefix))
 	if err != nil {
-		h.refuse(w, refusalOf(err))
+		h.refuse(w, refusalFor(err))
 		return
 	}
-	if !h.mine(id) {
-		h.elsewhere(w, r, id)
+	if !h.issuedHere(id) {
+		h.redirectToOwner(w, r, id)
 		return
 	}
 	record, ok := h.Records.Lookup(id)
@@ -57,7 +58,7 @@
 	}
 	switch r.Method {
 	case http.MethodGet:
-		h.again(w, record)
+		h.replay(w, record)
 	case http.MethodDelete:
 		h.Records.Cancel(id)
 		writeJSON(w, http.StatusAccepted, requestStatus{ID: id.String(), Outcome: record.Outcome})
@@ -66,14 +67,15 @@
 	}
 }
 
-func (h *Handler) mine(id request.ID) bool {
+// issuedHere reports whether this incarnation of this router handed out an id.
+func (h *Handler) issuedHere(id request.ID) bool {
 	return id.Router == string(h.Self.ID) && id.Incarnation == h.Self.Incarnation
 }
 
-// elsewhere sends a caller to the router that accepted its request, or tells
-// it that this router's incarnation is gone: then nobody can say what became
-// of the request, and it is not run a second time.
-func (h *Handler) elsewhere(w http.ResponseWriter, r *http.Request, id request.ID) {
+// redirectToOwner redirects the caller to the router that handed out the id. If that incarnation
+// is gone, the outcome of the request is unknown, so the caller is refused and the request is
+// not run again.
+func (h *Handler) redirectToOwner(w http.ResponseWriter, r *http.Request, id request.ID) {
 	m, ok := h.Core.Lookup(id.Router)
 	if !ok || m.Incarnation != id.Incarnation {
 		h.refuse(w, refusal{
@@ -89,8 +91,8 @@
 	})
 }
 
-// again gives a recorded answer once more.
-func (h *Handler) again(w http.ResponseWriter, record request.Record) {
+// replay sends the stored answer of a request, or its status if no complete answer is stored.
+func (h *Handler) replay(w http.ResponseWriter, record request.Record) {
 	w.Header().Set(HeaderRequestID, record.ID.String())
 	w.Header().Set(HeaderOutcome, string(record.Outcome))
 	if record.Reason != "" {
@@ -107,40 +109,40 @@
 	})
 }
 
-// job is an accepted request of a caller: its id and the context that ends
-// with its deadline, its cancellation or its caller.
+// job is an accepted request. Its context ends at the deadline, when the request is cancelled by
+// id, or when the caller closes the connection.
 type job struct {
-	id     request.ID
-	terms  terms
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	stop   context.CancelFunc
+	id        request.ID
+	options   requestOptions
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
+	stopTimer context.CancelFunc
 }
 
-// open accepts a request under the caller's id or a new one. It returns
-// false where the answer has been given already.
-func (h *Handler) open(w http.ResponseWriter, r *http.Request, o config.Organisation, t terms) (*job, bool) {
+// accept starts a job under the id that the caller reserved, or under a new one. If the id cannot
+// be used or was used before, it writes the answer itself and returns false.
+func (h *Handler) accept(w http.ResponseWriter, r *http.Request, o config.Organisation, opts requestOptions) (*job, bool) {
 	var id request.ID
-	if t.id == nil {
+	if opts.id == nil {
 		id = h.newID()
 		h.Records.Reserve(id, o.Name)
 	} else {
-		id = *t.id
+		id = *opts.id
 	}
-	if !h.mine(id) {
-		h.elsewhere(w, r, id)
+	if !h.issuedHere(id) {
+		h.redirectToOwner(w, r, id)
 		return nil, false
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
-	ctx, stop := context.WithTimeout(ctx, clock.Until(t.deadline))
+	ctx, stopTimer := context.WithTimeout(ctx, clock.Until(opts.deadline))
 	if h.Records.Open(id, o.Name, func() { cancel(errCancelled) }) {
 		w.Header().Set(HeaderRequestID, id.String())
-		return &job{id: id, terms: t, ctx: ctx, cancel: cancel, stop: stop}, true
+		return &job{id: id, options: opts, ctx: ctx, cancel: cancel, stopTimer: stopTimer}, true
 	}
-	stop()
+	stopTimer()
 	record, ok := h.Records.Lookup(id)
 	if ok && record.Organisation == o.Name && record.Outcome != request.InProgress {
-		h.again(w, record)
+		h.replay(w, record)
 		return nil, false
 	}
 	h.refuse(w, refusal{
@@ -150,13 +152,13 @@
 	return nil, false
 }
 
-// close records how a job ended.
-func (h *Handler) close(j *job, end request.Record) {
-	j.stop()
+// finish stores the record of an ended job and releases its context.
+func (h *Handler) finish(j *job, end request.Record) {
+	j.stopTimer()
 	j.cancel(nil)
 	end.ID = j.id
 	h.Records.Close(end)
 	h.Metrics.Ended(end.Outcome)
 	h.Log.V(1).Info("request ended", "request", j.id.String(), "outcome", end.Outcome,
-		"reason", end.Reason, "remaining", clock.Until(j.terms.deadline).String())
+		"reason", end.Reason, "remaining", clock.Until(j.options.deadline).String())
 }
--- a/internal/adapter/httpcaller/service.go
+++ b/internal/adapter/httpcaller/service.go
@@ -20,19 +20,19 @@
 
 const (
 	servicePrefix = "/v1/services/"
-	// serviceTries is the most instances of a service that a call is sent to.
-	serviceTries = 3
-	// maxAnswer is the largest answer of a plain service, in bytes.
-	maxAnswer = 4 << 20
+	// maxServiceAttempts is the maximum number of instances to which one call is sent.
+	maxServiceAttempts = 3
+	// maxServiceBody is the maximum size of the body of a plain service's answer, in bytes.
+	maxServiceBody = 4 << 20
 )
 
-// inFlight counts this router's calls in progress by target.
-type inFlight struct {
+// inFlightCounter counts this router's calls in progress by target.
+type inFlightCounter struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-func (f *inFlight) add(target string, n int) {
+func (f *inFlightCounter) add(target string, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.counts == nil {
@@ -44,8 +44,9 @@
 	}
 }
 
-// least returns the box with the fewest calls in progress, ties at random.
-func (f *inFlight) least(boxes []config.Box) config.Box {
+// leastLoaded returns the box with the fewest calls in progress. It starts its search at a random
+// box, which wins ties.
+func (f *inFlightCounter) leastLoaded(boxes []config.Box) config.Box {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	best := boxes[rand.IntN(len(boxes))]
@@ -57,17 +58,17 @@
 	return best
 }
 
-// service passes a call to a plain service. Such a call is not repeatable
-// unless the caller says that it is.
+// service serves a call to a plain service. A call is not repeatable unless the caller marks it
+// as repeatable.
 func (h *Handler) service(w http.ResponseWriter, r *http.Request, o config.Organisation) {
-	t, err := readTerms(r.Header, false, clock.Now())
+	opts, err := parseOptions(r.Header, false, clock.Now())
 	if err != nil {
-		h.refuse(w, refusalOf(err))
+		h.refuse(w, refusalFor(err))
 		return
 	}
 	body, err := readBody(r)
 	if err != nil {
-		h.refuse(w, refusalOf(err))
+		h.refuse(w, refusalFor(err))
 		return
 	}
 	name, path, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, servicePrefix), "/")
@@ -76,21 +77,21 @@
 		h.refuse(w, refusal{reason: request.ReasonUnknownService, detail: "no instance of service " + name})
 		return
 	}
-	j, ok := h.open(w, r, o, t)
+	j, ok := h.accept(w, r, o, opts)
 	if !ok {
 		return
 	}
 	call := port.Call{
-		ID: j.id.String(), Method: r.Method, Path: "/" + path, Header: passedOn(r.Header), Body: body,
+		ID: j.id.String(), Method: r.Method, Path: "/" + path, Header: endToEndHeader(r.Header), Body: body,
 	}
 	if r.URL.RawQuery != "" {
 		call.Path += "?" + r.URL.RawQuery
 	}
 	c := &serviceCall{handler: h, job: j, writer: w, call: call, boxes: boxes}
-	h.close(j, c.run())
+	h.finish(j, c.run())
 }
 
-// instances returns the boxes of a service that are not leaving.
+// instances returns the boxes of a service that are not shutting down.
 func (h *Handler) instances(name string) []config.Box {
 	var list []config.Box
 	for _, b := range h.Core.Snapshot().Boxes(config.RoleService) {
@@ -101,9 +102,9 @@
 	return list
 }
 
-// passedOn returns the headers that go to a service or come from it: no
-// credentials, and nothing that concerns the connection.
-func passedOn(header http.Header) http.Header {
+// endToEndHeader returns the headers that are forwarded to and from a service: without the
+// caller's credentials and without those of the connection.
+func endToEndHeader(header http.Header) http.Header {
 	out := header.Clone()
 	for _, name := range []string{"Authorization", "Connection", "Host", "Content-Length", "Transfer-Encoding", "Keep-Alive"} {
 		out.Del(name)
@@ -111,35 +112,38 @@
 	return out
 }
 
-// serviceCall is a call to a plain service on its way through the router.
+// serviceCall handles one call to a plain service.
 type serviceCall struct {
 	handler *Handler
 	job     *job
 	writer  http.ResponseWriter
 	call    port.Call
 	boxes   []config.Box
-	seen    bool
+	// mayHaveRun is set once an instance may have run the call.
+	mayHaveRun bool
 }
 
+// run sends the call to instances until one answers or no retry is allowed, and returns the
+// record of the request.
 func (c *serviceCall) run() request.Record {
 	c.handler.Budget.Earn()
 	for try := 1; ; try++ {
-		box := c.handler.busy.least(c.boxes)
-		invariant.Check(!c.seen || c.job.terms.repeatable, invariant.RunsOnce)
+		box := c.handler.inFlight.leastLoaded(c.boxes)
+		invariant.Check(!c.mayHaveRun || c.job.options.repeatable, invariant.RunsOnce)
 		record, err := c.attempt(box)
 		if err == nil {
 			return record
 		}
 		notRun := errors.Is(err, port.ErrNotSent) || errors.Is(err, port.ErrRefused)
-		c.seen = c.seen || !notRun
+		c.mayHaveRun = c.mayHaveRun || !notRun
 		if c.job.ctx.Err() != nil {
-			return c.refuse(reasonOf(c.job.ctx), err)
+			return c.refuse(endReason(c.job.ctx), err)
 		}
-		if !notRun && !c.job.terms.repeatable {
+		if !notRun && !c.job.options.repeatable {
 			return c.refuse(request.ReasonTargetFailed, err)
 		}
 		c.boxes = without(c.boxes, box)
-		if try == serviceTries || len(c.boxes) == 0 {
+		if try == maxServiceAttempts || len(c.boxes) == 0 {
 			return c.refuse(request.ReasonTargetRefused, err)
 		}
 		if !c.handler.Budget.Spend() {
@@ -149,40 +153,42 @@
 	}
 }
 
-func without(boxes []config.Box, gone config.Box) []config.Box {
+// without returns the boxes other than excluded.
+func without(boxes []config.Box, excluded config.Box) []config.Box {
 	var list []config.Box
 	for _, b := range boxes {
-		if b.Name != gone.Name {
+		if b.Name != excluded.Name {
 			list = append(list, b)
 		}
 	}
 	return list
 }
 
-// attempt sends the call to one instance and passes its answer on once it is
-// whole.
+// attempt sends the call to one instance. It forwards the answer only once it is complete, so
+// that a call whose answer breaks off can still be retried.
 func (c *serviceCall) attempt(box config.Box) (request.Record, error) {
-	c.handler.busy.add(box.Name, 1)
-	defer c.handler.busy.add(box.Name, -1)
+	c.handler.inFlight.add(box.Name, 1)
+	defer c.handler.inFlight.add(box.Name, -1)
 	answer, err := c.handler.Service.Call(c.job.ctx, box.Address, c.call)
 	if err != nil {
 		return request.Record{}, err
 	}
 	defer answer.Body.Close()
 	var body bytes.Buffer
-	n, err := io.Copy(&body, io.LimitReader(answer.Body, maxAnswer+1))
+	n, err := io.Copy(&body, io.LimitReader(answer.Body, maxServiceBody+1))
 	if err != nil {
 		return request.Record{}, errors.Wrap(port.ErrBroken, err.Error())
 	}
-	if n > maxAnswer {
-		return request.Record{}, errors.Wrapf(port.ErrBroken, "answer is larger than %d bytes", maxAnswer)
+	if n > maxServiceBody {
+		return request.Record{}, errors.Wrapf(port.ErrBroken, "answer is larger than %d bytes", maxServiceBody)
 	}
-	return c.pass(answer, body.Bytes()), nil
+	return c.writeAnswer(answer, body.Bytes()), nil
 }
 
-func (c *serviceCall) pass(answer port.Response, body []byte) request.Record {
+// writeAnswer sends a complete answer to the caller and returns the record of the request.
+func (c *serviceCall) writeAnswer(answer port.Response, body []byte) request.Record {
 	contentType := answer.Header.Get("Content-Type")
-	for name, values := range passedOn(answer.Header) {
+	for name, values := range endToEndHeader(answer.Header) {
 		c.writer.Header()[name] = values
 	}
 	c.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -194,9 +200,10 @@
 	}
 }
 
+// refuse ends the call with an error and returns the record of the request.
 func (c *serviceCall) refuse(reason request.Reason, err error) request.Record {
 	f := refusal{reason: reason, outcome: request.NotRun, detail: err.Error()}
-	if c.seen {
+	if c.mayHaveRun {
 		f.outcome = request.Unknown
 	}
 	c.handler.refuse(c.writer, f)
--- a/internal/adapter/httpcaller/sink.go
+++ b/internal/adapter/httpcaller/sink.go
@@ -13,18 +13,18 @@
 	"github.com/stepcroft/stepcroft/internal/request"
 )
 
-// keepStream is how much of a streamed answer is kept for a caller that asks
-// again, in bytes.
-const keepStream = 64 << 10
+// maxReplayBytes is the size up to which a streamed answer is stored, so that the caller can
+// request it again by id.
+const maxReplayBytes = 64 << 10
 
-// usage is an engine's own count of an answer's tokens.
-type usage struct {
+// tokenUsage holds the token counts of an answer, as the engine reports them.
+type tokenUsage struct {
 	Prompt     int `json:"prompt_tokens"`
 	Completion int `json:"completion_tokens"`
 	Total      int `json:"total_tokens"`
 }
 
-// chunk is the part of an engine's event that the router reads.
+// chunk holds the fields of an engine's event that the router reads.
 type chunk struct {
 	Choices []struct {
 		Delta struct {
@@ -32,78 +32,79 @@
 		} `json:"delta"`
 		FinishReason *string `json:"finish_reason"`
 	} `json:"choices"`
-	Usage *usage `json:"usage"`
+	Usage *tokenUsage `json:"usage"`
 }
 
-// sink turns an engine's events into the answer for the caller.
+// sink writes the answer to the caller from an engine's events.
 type sink interface {
-	// event takes one event's data, valid only during the call; more says
-	// that another one follows at once, so that both may go out together.
+	// event adds one event; data is valid only during the call. more is set if another event
+	// is already received, so that both can be flushed together.
 	event(data []byte, more bool) error
-	// restart forgets events of an attempt that failed before anything was
+	// reset discards the events of a failed attempt. It is called only if nothing has been
 	// sent to the caller.
-	restart()
-	// begun reports whether the caller has been sent anything.
-	begun() bool
-	// used returns the engine's own count, if it gave one.
-	used() usage
-	// end ends the answer and returns the record of it.
-	end() request.Record
-	// abort ends an answer that has begun so that no client can take it for
-	// a whole one.
+	reset()
+	// started reports whether anything has been sent to the caller.
+	started() bool
+	// reportedUsage returns the token counts that the engine reported, or zeros.
+	reportedUsage() tokenUsage
+	// finish completes the answer and returns the record of the request.
+	finish() request.Record
+	// abort ends an answer that has started in a way that no client takes for a complete answer.
 	abort(f refusal)
 }
 
-// newSink returns the sink for a request. A streamed answer is kept for asking
-// again only if keep is set, as for ids that the caller reserved: it can be
-// large, and many are under way at a time.
-func newSink(w http.ResponseWriter, c chatRequest, id request.ID, keep bool) sink {
+// newSink returns the sink for a request. A streamed answer is stored for replay only if replay
+// is set, which is done only for ids that callers reserved: answers can be large, and many are in
+// progress at a time.
+func newSink(w http.ResponseWriter, c chatRequest, id request.ID, replay bool) sink {
 	if c.Stream {
-		return &streamSink{writer: w, keep: keep}
+		return &streamSink{writer: w, replay: replay}
 	}
-	return &wholeSink{writer: w, model: c.Model, id: id}
+	return &bufferedSink{writer: w, model: c.Model, id: id}
 }
 
-// streamSink passes events through as they come.
+// streamSink forwards each event as it arrives.
 type streamSink struct {
-	writer  http.ResponseWriter
-	started bool
-	keep    bool
-	kept    bytes.Buffer
-	frame   []byte
-	counted usage
+	writer        http.ResponseWriter
+	headerWritten bool
+	replay        bool
+	replayBuffer  bytes.Buffer
+	frame         []byte
+	counts        tokenUsage
 }
 
 var usageField = []byte(`"usage"`)
 
 func (s *streamSink) event(data []byte, more bool) error {
 	if bytes.Contains(data, usageField) {
-		s.count(data)
+		s.readUsage(data)
 	}
-	if !s.started {
-		s.started = true
+	if !s.headerWritten {
+		s.headerWritten = true
 		s.writer.Header().Set("Content-Type", "text/event-stream")
 		s.writer.Header().Set("Cache-Control", "no-store")
 	}
 	return s.write(data, !more)
 }
 
-func (s *streamSink) count(data []byte) {
+// readUsage stores the token counts of an event, if it contains any.
+func (s *streamSink) readUsage(data []byte) {
 	var c chunk
 	if json.Unmarshal(data, &c) == nil && c.Usage != nil {
-		s.counted = *c.Usage
+		s.counts = *c.Usage
 	}
 }
 
+// write sends data framed as a server-sent event.
 func (s *streamSink) write(data []byte, flush bool) error {
 	s.frame = append(s.frame[:0], "data: "...)
 	s.frame = append(s.frame, data...)
 	s.frame = append(s.frame, "\n\n"...)
-	if s.keep && s.kept.Len() <= keepStream {
-		s.kept.Write(s.frame)
+	if s.replay && s.replayBuffer.Len() <= maxReplayBytes {
+		s.replayBuffer.Write(s.frame)
 	}
 	if _, err := s.writer.Write(s.frame); err != nil {
-		return errors.Wrap(errGone, err.Error())
+		return errors.Wrap(errCallerGone, err.Error())
 	}
 	if !flush {
 		return nil
@@ -114,24 +115,23 @@
 	return nil
 }
 
-func (s *streamSink) restart() { s.counted = usage{} }
+func (s *streamSink) reset() { s.counts = tokenUsage{} }
 
-func (s *streamSink) begun() bool { return s.started }
+func (s *streamSink) started() bool { return s.headerWritten }
 
-func (s *streamSink) used() usage { return s.counted }
+func (s *streamSink) reportedUsage() tokenUsage { return s.counts }
 
-func (s *streamSink) end() request.Record {
-	// A comment line carries the outcome; clients of the common shape skip it.
+func (s *streamSink) finish() request.Record {
+	// The outcome is sent as an SSE comment, which clients of chat completion APIs skip.
 	_, _ = s.writer.Write([]byte(": outcome=" + string(request.Completed) + "\n\n"))
 	_ = s.write([]byte("[DONE]"), true)
 	return request.Record{
 		Outcome: request.Completed, Status: http.StatusOK, ContentType: "text/event-stream",
-		Body: s.kept.Bytes(), Truncated: !s.keep || s.kept.Len() > keepStream,
+		Body: s.replayBuffer.Bytes(), Truncated: !s.replay || s.replayBuffer.Len() > maxReplayBytes,
 	}
 }
 
-// abort sends the error as an event and closes the connection without the
-// end of the answer.
+// abort sends the error as an event and closes the connection without terminating the answer.
 func (s *streamSink) abort(f refusal) {
 	if data, err := json.Marshal(f.body()); err == nil {
 		_ = s.write(data, true)
@@ -143,49 +143,49 @@
 	}
 }
 
-// wholeSink collects the events into one answer.
-type wholeSink struct {
-	writer  http.ResponseWriter
-	model   string
-	id      request.ID
-	content []byte
-	finish  string
-	counted usage
+// bufferedSink collects the events and sends one JSON answer at the end.
+type bufferedSink struct {
+	writer       http.ResponseWriter
+	model        string
+	id           request.ID
+	content      []byte
+	finishReason string
+	counts       tokenUsage
 }
 
-func (s *wholeSink) event(data []byte, _ bool) error {
+func (s *bufferedSink) event(data []byte, _ bool) error {
 	var c chunk
 	if err := json.Unmarshal(data, &c); err != nil {
 		return errors.Wrap(port.ErrBroken, err.Error())
 	}
 	if c.Usage != nil {
-		s.counted = *c.Usage
-		s.counted.Total = c.Usage.Prompt + c.Usage.Completion
+		s.counts = *c.Usage
+		s.counts.Total = c.Usage.Prompt + c.Usage.Completion
 	}
 	if len(c.Choices) == 0 {
 		return nil
 	}
 	s.content = append(s.content, c.Choices[0].Delta.Content...)
 	if c.Choices[0].FinishReason != nil {
-		s.finish = *c.Choices[0].FinishReason
+		s.finishReason = *c.Choices[0].FinishReason
 	}
 	return nil
 }
 
-func (s *wholeSink) restart() { s.content, s.finish, s.counted = nil, "", usage{} }
+func (s *bufferedSink) reset() { s.content, s.finishReason, s.counts = nil, "", tokenUsage{} }
 
-func (s *wholeSink) begun() bool { return false }
+func (s *bufferedSink) started() bool { return false }
 
-func (s *wholeSink) used() usage { return s.counted }
+func (s *bufferedSink) reportedUsage() tokenUsage { return s.counts }
 
-// completion is a whole answer in the common shape.
+// completion is the body of an answer that is not streamed, as chat completion APIs define it.
 type completion struct {
-	ID      string   `json:"id"`
-	Object  string   `json:"object"`
-	Created int64    `json:"created"`
-	Model   string   `json:"model"`
-	Choices []choice `json:"choices"`
-	Usage   usage    `json:"usage"`
+	ID      string     `json:"id"`
+	Object  string     `json:"object"`
+	Created int64      `json:"created"`
+	Model   string     `json:"model"`
+	Choices []choice   `json:"choices"`
+	Usage   tokenUsage `json:"usage"`
 }
 
 type choice struct {
@@ -199,13 +199,13 @@
 	Content string `json:"content"`
 }
 
-func (s *wholeSink) end() request.Record {
+func (s *bufferedSink) finish() request.Record {
 	body, _ := json.Marshal(completion{
 		ID: s.id.String(), Object: "chat.completion", Created: clock.Wall().Unix(), Model: s.model,
 		Choices: []choice{{
-			Message: choiceMessage{Role: "assistant", Content: string(s.content)}, FinishReason: s.finish,
+			Message: choiceMessage{Role: "assistant", Content: string(s.content)}, FinishReason: s.finishReason,
 		}},
-		Usage: s.counted,
+		Usage: s.counts,
 	})
 	s.writer.Header().Set("Content-Type", "application/json")
 	s.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -217,4 +217,4 @@
 	}
 }
 
-func (s *wholeSink) abort(refusal) {}
+func (s *bufferedSink) abort(refusal) {}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -241,7 +241,7 @@
 	r.metrics.Set("config", func() any { return r.syncer.Stats() })
 	r.metrics.Set("violations", func() any { return json.RawMessage(invariant.Violations().String()) })
 	r.metrics.Set("process", func() any { return metrics.ReadProcess() })
-	r.metrics.Set("callers", func() any { return callerStats{r.handler.Working()} })
+	r.metrics.Set("callers", func() any { return callerStats{r.handler.OpenRequests()} })
 }
 
 // callerStats is the published state of callers' requests.
@@ -275,7 +275,7 @@
 func (r *Router) idle() bool {
 	idle := false
 	r.loop.call(func(s *control.State, _ time.Time) { idle = s.Idle() })
-	return idle && r.handler.Working() == 0
+	return idle && r.handler.OpenRequests() == 0
 }
 
 // Stop stops the router at once.
