--- a/internal/adapter/httpcaller/chat.go
+++ b/internal/adapter/httpcaller/chat.go
@@ -119,7 +119,7 @@
 		if retry == "" {
 			return record
 		}
-		x.handler.Metrics.Retried(retry)
+		x.handler.Metrics.CountRetry(retry)
 		x.handler.Core.Retry(x.ticket)
 	}
 }
@@ -139,7 +139,7 @@
 			x.handler.Core.Cancel(x.ticket, endReason(x.job.ctx))
 			done = nil
 		case <-poll.C:
-			if httpserver.Gone(x.writer) {
+			if httpserver.CallerDisconnected(x.writer) {
 				x.job.cancel(errCallerGone)
 			}
 		}
@@ -159,7 +159,7 @@
 	x.ticket.ServedCost.Store(0)
 	err := x.send(d.Address)
 	for try := 0; try < maxResumes && x.resumable(err); try++ {
-		x.handler.Metrics.Retried(request.RetryResume)
+		x.handler.Metrics.CountRetry(request.RetryResume)
 		err = x.resume(d.Address, err)
 	}
 	if err == nil {
@@ -258,7 +258,7 @@
 		if err := x.sink.event(data, stream.HasBuffered()); err != nil {
 			return err
 		}
-		if httpserver.Gone(x.writer) {
+		if httpserver.CallerDisconnected(x.writer) {
 			x.job.cancel(errCallerGone)
 			return errCallerGone
 		}
@@ -288,7 +288,7 @@
 	}
 	invariant.Check(f.outcome != request.NotRun || !x.sink.started(), invariant.NotRunIsTrue)
 	if x.sink.started() {
-		x.handler.Metrics.Refused(reason)
+		x.handler.Metrics.CountRefusal(reason)
 		x.sink.abort(f)
 	} else {
 		x.handler.refuse(x.writer, f)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -30,9 +30,8 @@
 )
 
 const (
-	// headerTimeout bounds the time from the first byte of a request to the end of its
-	// headers. The server is created before the configured limit is known, so this is above
-	// the limits in use.
+	// headerTimeout bounds the time that reading a request's headers takes. The server is
+	// created before the configured limit is known, so this is above the limits in use.
 	headerTimeout = 10 * time.Second
 	// idleTimeout is how long an idle connection is kept open. It is above the configured
 	// limit, up to which callers reuse their connections.
@@ -59,15 +58,15 @@
 
 // Reasons for refusing a request before it reaches the forwarder.
 const (
-	ReasonBadRequest   forward.Reason = "bad-request"
-	ReasonNoRoute      forward.Reason = "no-route"
-	ReasonUnauthorized forward.Reason = "unknown-key"
-	ReasonTooLarge     forward.Reason = "body-too-large"
-	ReasonBodyTimeout  forward.Reason = "body-timeout"
-	ReasonNotReady     forward.Reason = "not-ready"
-	ReasonLeaving      forward.Reason = "router-leaving"
-	ReasonProcessFull  forward.Reason = "process-full"
-	ReasonCrowded      forward.Reason = forward.ReasonOrganisationQueueFull
+	ReasonBadRequest            forward.Reason = "bad-request"
+	ReasonNoRoute               forward.Reason = "no-route"
+	ReasonUnauthorized          forward.Reason = "unknown-key"
+	ReasonTooLarge              forward.Reason = "body-too-large"
+	ReasonBodyTimeout           forward.Reason = "body-timeout"
+	ReasonNotReady              forward.Reason = "not-ready"
+	ReasonLeaving               forward.Reason = "router-leaving"
+	ReasonProcessFull           forward.Reason = "process-full"
+	ReasonOrganisationQueueFull forward.Reason = forward.ReasonOrganisationQueueFull
 )
 
 const (
@@ -86,17 +85,17 @@
 
 // Observer receives the result of each request, also of refused ones.
 type Observer interface {
-	Ended(r forward.Request, v forward.Result, took time.Duration)
+	RequestEnded(r forward.Request, result forward.Result, took time.Duration)
 }
 
 // Server serves a router's callers. Use New to create one.
 type Server struct {
-	dialect   forward.HeaderNames
-	forwarder *forward.Forwarder
-	observer  Observer
-	log       logr.Logger
-	table     atomic.Pointer[routing.Table]
-	server    *http.Server
+	headerNames forward.HeaderNames
+	forwarder   *forward.Forwarder
+	observer    Observer
+	log         logr.Logger
+	table       atomic.Pointer[routing.Table]
+	server      *http.Server
 	// bodyBytes is the total size of the request bodies in memory.
 	bodyBytes  atomic.Int64
 	conns      *conns
@@ -124,9 +123,9 @@
 }
 
 // New returns a server that refuses all requests until Configure is called.
-func New(d forward.HeaderNames, f *forward.Forwarder, o Observer, limits Limits, l logr.Logger) *Server {
+func New(names forward.HeaderNames, f *forward.Forwarder, o Observer, limits Limits, l logr.Logger) *Server {
 	s := &Server{
-		dialect: d, forwarder: f, observer: o, log: l,
+		headerNames: names, forwarder: f, observer: o, log: l,
 		conns: newConns(limits.Connections, f.ShortOfCPU), maxOpen: int64(limits.Requests),
 	}
 	s.server = &http.Server{
@@ -151,7 +150,8 @@
 	return len(text), nil
 }
 
-// Configure replaces the routing table.
+// Configure puts a new routing table in force, which applies to requests that arrive from then
+// on.
 func (s *Server) Configure(t *routing.Table) { s.table.Store(t) }
 
 // Pause makes the server refuse all requests as not ready if paused is true, and serve them
@@ -163,15 +163,15 @@
 	return s.table.Load() != nil && !s.closing.Load() && !s.paused.Load()
 }
 
-// Open returns the number of requests being served.
-func (s *Server) Open() int64 { return s.open.Load() }
+// OpenRequests returns the number of requests being served.
+func (s *Server) OpenRequests() int64 { return s.open.Load() }
 
-// TurnedAway returns the number of connections rejected since the start because they waited
-// too long for CPU time.
-func (s *Server) TurnedAway() int64 { return s.rejections.total.Load() }
+// RejectedConnections returns the number of connections rejected since the start because they
+// waited too long for CPU time.
+func (s *Server) RejectedConnections() int64 { return s.rejections.total.Load() }
 
-// Begun returns the number of requests that reached the HTTP server since the start.
-func (s *Server) Begun() int64 { return s.started.Load() }
+// TotalRequests returns the number of requests that reached the HTTP server since the start.
+func (s *Server) TotalRequests() int64 { return s.started.Load() }
 
 // Serve serves callers on l until Close.
 func (s *Server) Serve(l net.Listener) error {
@@ -215,9 +215,9 @@
 	if s.closing.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	request, v := s.prepare(w, r, arrived)
-	if v.Status != 0 {
-		s.finish(w, request, v, arrived)
+	request, result := s.prepare(w, r, arrived)
+	if result.Status != 0 {
+		s.finish(w, request, result, arrived)
 		return
 	}
 	defer s.bodyBytes.Add(-int64(len(request.Body)))
@@ -226,26 +226,26 @@
 	s.finish(w, request, s.forwarder.Forward(r.Context(), request, a), arrived)
 }
 
-// finish reports a result to the observer and, unless the answer has been forwarded, writes it
+// finish reports a result to the observer and, unless an answer has been forwarded, writes it
 // to the caller. An answer that broke off part-way is aborted, so that the caller notices.
-func (s *Server) finish(w http.ResponseWriter, r forward.Request, v forward.Result, arrived time.Time) {
-	s.observer.Ended(r, v, clock.Since(arrived))
-	if v.Truncated {
+func (s *Server) finish(w http.ResponseWriter, r forward.Request, result forward.Result, arrived time.Time) {
+	s.observer.RequestEnded(r, result, clock.Since(arrived))
+	if result.Truncated {
 		panic(http.ErrAbortHandler)
 	}
-	if v.HeadSent {
+	if result.HeadSent {
 		return
 	}
 	h := w.Header()
 	if r.ID != "" {
-		h.Set(s.dialect.RequestID, r.ID)
+		h.Set(s.headerNames.RequestID, r.ID)
 	}
-	if v.RetryAfter > 0 {
-		h.Set("Retry-After", retryAfter(v.RetryAfter))
+	if result.RetryAfter > 0 {
+		h.Set("Retry-After", retryAfter(result.RetryAfter))
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	w.WriteHeader(v.Status)
-	if _, err := io.WriteString(w, string(v.Reason)+"\n"); err != nil {
+	w.WriteHeader(result.Status)
+	if _, err := io.WriteString(w, string(result.Reason)+"\n"); err != nil {
 		s.log.V(1).Info("refusal not delivered", "id", r.ID, "cause", err.Error())
 	}
 }
@@ -265,16 +265,16 @@
 // the request is refused.
 func (s *Server) prepare(w http.ResponseWriter, r *http.Request, arrived time.Time) (forward.Request, forward.Result) {
 	out := forward.Request{
-		ID: r.Header.Get(s.dialect.RequestID), Method: r.Method, URI: r.RequestURI, Host: r.Host, Arrived: arrived,
+		ID: r.Header.Get(s.headerNames.RequestID), Method: r.Method, URI: r.RequestURI, Host: r.Host, Arrived: arrived,
 	}
 	t := s.table.Load()
 	if t == nil || s.paused.Load() {
 		return out, refused(http.StatusServiceUnavailable, ReasonNotReady, notReadyRetryAfter)
 	}
-	if v := s.identify(t, &out, r.Header.Get("Authorization")); v.Status != 0 {
-		return out, v
+	if result := s.identify(t, &out, r.Header.Get("Authorization")); result.Status != 0 {
+		return out, result
 	}
-	out.Input, out.Output = parseSizes(r.Header.Get(s.dialect.PromptSize), r.Header.Get(s.dialect.OutputHint))
+	out.Input, out.Output = parseSizes(r.Header.Get(s.headerNames.PromptSize), r.Header.Get(s.headerNames.OutputHint))
 	if reason := s.admit(out); reason != "" {
 		// The body stays unread, so the connection cannot be reused.
 		w.Header().Set("Connection", "close")
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -86,7 +86,7 @@
 	client := platform.New(s.platform.Address())
 	r, err := router.New(router.Options{
 		ID: id, Listen: loopback, PeerListen: loopback, Platform: client, Seed: 1, Log: logr.Discard(),
-		ReportPeriod: 100 * time.Millisecond, Timeout: time.Second,
+		ReportPeriod: 100 * time.Millisecond, RouterTimeout: time.Second,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	s.seed(config.KindBox, id, config.Box{
@@ -260,7 +260,7 @@
 		})
 		Eventually(func() int64 {
 			retried := int64(0)
-			s.routers[0].Metrics().Retries(func(r request.Reason, n int64) {
+			s.routers[0].Metrics().EachRetry(func(r request.Reason, n int64) {
 				if r == request.RetryBroken {
 					retried = n
 				}
@@ -391,7 +391,7 @@
 		before.Stop()
 		r, err := router.New(router.Options{
 			ID: "r2", Listen: before.Address(), PeerListen: before.Self().Peer, Platform: client, Seed: 1,
-			Log: logr.Discard(), ReportPeriod: 100 * time.Millisecond, Timeout: time.Second,
+			Log: logr.Discard(), ReportPeriod: 100 * time.Millisecond, RouterTimeout: time.Second,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		s.routers[1] = r
@@ -443,7 +443,7 @@
 
 	It("counts refusals by reason", func() {
 		var out bytes.Buffer
-		s.routers[0].Metrics().Refusals(func(r request.Reason, n int64) { fmt.Fprintln(&out, r, n) })
+		s.routers[0].Metrics().EachRefusal(func(r request.Reason, n int64) { fmt.Fprintln(&out, r, n) })
 		Expect(out.String()).To(ContainSubstring("bad-request"))
 		Expect(invariant.Total()).To(BeZero())
 	})
