--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -9,30 +9,33 @@
 	"time"
 )
 
-// defaultDeadline holds for requests that name none.
+// defaultDeadline is the deadline of requests whose scenario sets none.
 const defaultDeadline = 30 * time.Second
 
-// Arrival is one request that will be made.
+// Arrival is one request that a load test will send.
 type Arrival struct {
-	// At is when, counted from the start.
+	// At is the time of sending, relative to the start of the load.
 	At time.Duration
-	// Tag is unique within the scenario; see standin.Prompt.
+	// Tag identifies the request within the scenario; see standin.Prompt.
 	Tag          string
 	Organisation string
-	// Requests is the stream that it belongs to.
+	// Requests is the part of the scenario that the request was drawn from.
 	Requests *Requests
 	// Router is the index of the router it is sent to.
 	Router int
+	// Tokens is the number of tokens to generate.
 	Tokens int
+	// Prompt is the length of the prompt in tokens.
 	Prompt int
+	// Stream asks for a streamed answer.
 	Stream bool
-	// Hint is the cost hint, 0 for none.
+	// Hint is the cost that the caller announces, in tokens; 0 means no hint.
 	Hint     float64
 	Deadline time.Duration
 }
 
-// Plan draws all arrivals from a seed, in order of time. The same seed draws
-// the same ones.
+// Plan draws all arrivals of the scenario at random and returns them in order of time. The same
+// seed gives the same arrivals.
 func (s *Scenario) Plan(seed uint64) []Arrival {
 	var all []Arrival
 	for i := range s.Organisations {
@@ -46,6 +49,8 @@
 	return all
 }
 
+// planRequests draws the arrivals of o.Requests[index], a Poisson process whose rate is raised
+// during a flood.
 func (s *Scenario) planRequests(o *Organisation, index int, r *rand.Rand) []Arrival {
 	q := &o.Requests[index]
 	routers := r.Perm(s.Routers)
@@ -76,6 +81,7 @@
 	}
 }
 
+// factor returns by how much the flood multiplies the rate at a time after the start.
 func (f Flood) factor(at time.Duration) float64 {
 	if f.Factor == 0 || at < time.Duration(f.At) || at >= time.Duration(f.At+f.For) {
 		return 1
@@ -83,6 +89,7 @@
 	return f.Factor
 }
 
+// land draws the router of a request from the given ones.
 func (q *Requests) land(routers []int, r *rand.Rand) int {
 	if r.Float64() < q.Skew {
 		return routers[0]
@@ -90,6 +97,7 @@
 	return routers[r.IntN(len(routers))]
 }
 
+// hint draws a cost hint that is too high or too low by a factor of up to HintError.
 func (q *Requests) hint(tokens int, r *rand.Rand) float64 {
 	if q.HintError == 0 {
 		return 0
@@ -98,7 +106,7 @@
 	return max(1, float64(tokens)*wrong)
 }
 
-// draw returns a token count, at least 1.
+// draw returns a random token count of at least 1.
 func (l Length) draw(r *rand.Rand) int {
 	if l.Mean <= 0 {
 		return 1
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,5 +1,6 @@
-// Package scenario describes a load and the fleet it meets, as read from a
-// file, and draws the requests that will be made.
+// Package scenario describes a load test, which is read from a YAML file: the fleet of routers
+// and targets, the organisations' requests, and the faults to inject. It draws the individual
+// requests from a random seed.
 package scenario
 
 import (
@@ -12,13 +13,12 @@
 	"github.com/stepcroft/stepcroft/internal/standin"
 )
 
-// Scenario is a load and the fleet it meets, as read from a file.
+// Scenario describes the fleet, the load and the faults of a load test.
 type Scenario struct {
 	Name string `yaml:"name" validate:"required,max=63,name"`
 	// Duration is how long the load lasts.
 	Duration settings.Duration `yaml:"duration" validate:"required,min=1000000000,max=86400000000000"`
-	// Zones are the availability zones; routers and engines are spread over
-	// them in turn.
+	// Zones are the availability zones. Routers and targets are assigned to them round robin.
 	Zones         []string       `yaml:"zones" validate:"required,min=1,max=64,dive,name"`
 	Routers       int            `yaml:"routers" validate:"required,min=1,max=1000"`
 	Pools         []Pool         `yaml:"pools" validate:"required,min=1,dive"`
@@ -27,27 +27,30 @@
 	Faults        []Fault        `yaml:"faults" validate:"dive"`
 }
 
-// Pool is a set of like engines.
+// Pool is a set of identical engines.
 type Pool struct {
 	Name    string `yaml:"name" validate:"required,max=63,name"`
 	Engines int    `yaml:"engines" validate:"required,min=1,max=10000"`
-	// Slots is the number of requests that one engine runs at a time.
+	// Slots is the number of requests that one engine runs at the same time.
 	Slots int `yaml:"slots" validate:"required,min=1,max=4096"`
-	// TokenTime is the time between two tokens of a request.
+	// TokenTime is the time that an engine takes to generate one token of a request.
 	TokenTime settings.Duration `yaml:"token_time" validate:"required,min=100000,max=10000000000"`
-	// PrefillRate is the number of prompt tokens processed a second.
+	// PrefillRate is the number of prompt tokens that an engine processes per second; 0 means
+	// that this takes no time.
 	PrefillRate float64 `yaml:"prefill_rate" validate:"min=0"`
-	PromptCost  float64 `yaml:"prompt_cost" validate:"min=0,max=100"`
-	Policy      string  `yaml:"policy" validate:"omitempty,policy"`
+	// PromptCost is the cost of one prompt token in units of one generated token.
+	PromptCost float64 `yaml:"prompt_cost" validate:"min=0,max=100"`
+	// Policy is the fair policy of the pool; empty means the default.
+	Policy string `yaml:"policy" validate:"omitempty,policy"`
 }
 
-// Service is a plain service and how many boxes run it.
+// Service is a plain service that runs on a number of boxes.
 type Service struct {
 	Name  string `yaml:"name" validate:"required,max=63,name"`
 	Boxes int    `yaml:"boxes" validate:"required,min=1,max=1000"`
 }
 
-// Organisation is one customer's load.
+// Organisation is one organisation with its load.
 type Organisation struct {
 	Name     string        `yaml:"name" validate:"required,max=63,name"`
 	Weight   float64       `yaml:"weight" validate:"omitempty,min=0.01,max=1000"`
@@ -56,61 +59,65 @@
 	Requests []Requests    `yaml:"requests" validate:"required,min=1,dive"`
 }
 
-// EffectiveWeight returns the weight, or that of an organisation that has none
-// set.
+// EffectiveWeight returns the organisation's weight, or the default weight if none is set.
 func (o Organisation) EffectiveWeight() float64 { return cmp.Or(o.Weight, config.DefaultWeight) }
 
-// Requests is a stream of like requests, arriving at random.
+// Requests is a group of similar requests that arrive as a Poisson process.
 type Requests struct {
-	// Pool or Service says where they go; one of the two is set.
+	// Pool or Service names the target of the requests; exactly one of them is set.
 	Pool    string `yaml:"pool" validate:"omitempty,name"`
 	Service string `yaml:"service" validate:"omitempty,name"`
-	// Rate is the mean number of arrivals a second.
-	Rate   float64 `yaml:"rate" validate:"required,min=0.001,max=100000"`
-	Tokens Length  `yaml:"tokens"`
-	Prompt Length  `yaml:"prompt"`
-	// Routers is the number of routers they land on, 0 for all; Skew is the
-	// part of them that lands on the first of those, 0 for an even spread.
+	// Rate is the mean number of arrivals per second.
+	Rate float64 `yaml:"rate" validate:"required,min=0.001,max=100000"`
+	// Tokens and Prompt are the numbers of generated tokens and of prompt tokens of a request.
+	Tokens Length `yaml:"tokens"`
+	Prompt Length `yaml:"prompt"`
+	// Routers is the number of routers that the requests are sent to, chosen at random; 0 means
+	// all. Skew is the fraction of the requests that is sent to the first of them; the rest
+	// is spread evenly over all of them.
 	Routers int     `yaml:"routers" validate:"min=0,max=1000"`
 	Skew    float64 `yaml:"skew" validate:"min=0,max=1"`
-	// Streamed is the part of them that asks for a streamed answer.
+	// Streamed is the fraction of the requests that asks for a streamed answer.
 	Streamed      float64           `yaml:"streamed" validate:"min=0,max=1"`
 	Deadline      settings.Duration `yaml:"deadline" validate:"omitempty,min=10000000"`
 	NotRepeatable bool              `yaml:"not_repeatable"`
-	// HintError is the factor by which cost hints are wrong at most; 0 means
-	// that no hints are given.
+	// HintError is the largest factor by which cost hints are too high or too low; 0 means that
+	// requests have no cost hints.
 	HintError float64 `yaml:"hint_error" validate:"omitempty,min=1,max=100"`
 	Flood     Flood   `yaml:"flood"`
 }
 
-// Length is a log-normal distribution of token counts.
+// Length is a log-normal distribution of token counts, cut off at Max; a Max of 0 means no limit.
 type Length struct {
 	Mean  float64 `yaml:"mean" validate:"min=0,max=1000000"`
 	Sigma float64 `yaml:"sigma" validate:"min=0,max=4"`
 	Max   int     `yaml:"max" validate:"min=0,max=1000000"`
 }
 
-// Flood multiplies a rate for a while.
+// Flood multiplies the rate of a group of requests by Factor, starting at the time At, for the
+// duration For. A Factor of 0 means that there is no flood.
 type Flood struct {
 	At     settings.Duration `yaml:"at" validate:"min=0"`
 	For    settings.Duration `yaml:"for" validate:"min=0"`
 	Factor float64           `yaml:"factor" validate:"min=0,max=1000"`
 }
 
-// Fault is something that goes wrong for a while.
+// Fault is a fault that is injected at the time At and lasts for the duration For, or until the
+// end if that is 0.
 type Fault struct {
 	At  settings.Duration `yaml:"at" validate:"min=0"`
 	For settings.Duration `yaml:"for" validate:"min=0"`
-	// Target is platform, a router such as r1, or an engine such as
-	// quoting-1.
+	// Target is "platform", a router such as r1, or an engine such as quoting-1.
 	Target string `yaml:"target" validate:"required"`
-	// Set holds the switches of a stand-in.
+	// Set is put in force at the stand-in if Target is an engine or the platform.
 	Set standin.Faults `yaml:"set"`
-	// Action on a router: stop, drain, or cut (from all others).
+	// Action is what happens to a router: stop it, drain it (a planned shutdown), or cut its
+	// connections to all other routers.
 	Action string `yaml:"action" validate:"omitempty,oneof=stop drain cut"`
 }
 
-// Check tells what is wrong between fields.
+// Check implements settings.Checker: names are unique, and each group of requests has an existing
+// target.
 func (s Scenario) Check() []settings.Problem {
 	problems := s.checkNames()
 	pools := map[string]bool{}
@@ -130,6 +137,7 @@
 	return problems
 }
 
+// checkNames returns a problem for each name that its list has already.
 func (s Scenario) checkNames() []settings.Problem {
 	var problems []settings.Problem
 	seen := map[string]bool{}
@@ -157,7 +165,7 @@
 func (r Requests) check(field string, pools, services map[string]bool, routers int) []settings.Problem {
 	var problems []settings.Problem
 	if (r.Pool == "") == (r.Service == "") {
-		problems = append(problems, settings.Problem{Field: field, Text: "wants either pool or service"})
+		problems = append(problems, settings.Problem{Field: field, Text: "exactly one of pool and service must be set"})
 	}
 	if r.Pool != "" && !pools[r.Pool] {
 		problems = append(problems, settings.Problem{Field: field + ".pool", Text: fmt.Sprintf("there is no pool %q", r.Pool)})
@@ -176,8 +184,8 @@
 	return problems
 }
 
-// Scaled returns the scenario with k times the routers, engines and load, the
-// load a router and the organisations as they are.
+// Scaled returns the scenario with k times as many routers and engines and k times the load. The
+// load of one router and the organisations stay the same.
 func (s Scenario) Scaled(k int) Scenario {
 	s.Routers *= k
 	s.Pools = slices.Clone(s.Pools)
@@ -190,8 +198,8 @@
 	})
 }
 
-// Stretched returns the scenario with engines and load slower by a factor, so
-// that a large fleet fits on one machine. Report periods stay as they are.
+// Stretched returns the scenario with engines and load slowed down by a factor, so that one
+// machine can run a large fleet. The routers' report periods stay the same.
 func (s Scenario) Stretched(factor float64) Scenario {
 	s.Pools = slices.Clone(s.Pools)
 	for i := range s.Pools {
@@ -204,8 +212,8 @@
 	})
 }
 
-// Skewed returns the scenario with half of the organisations, every other
-// one, landing on a single router each.
+// Skewed returns the scenario with every other organisation sending each group of its requests
+// to a single router.
 func (s Scenario) Skewed() Scenario {
 	n := 0
 	return s.withOrganisations(func(o *Organisation) {
@@ -218,6 +226,7 @@
 	})
 }
 
+// withRequests returns a copy in which change was applied to copies of all groups of requests.
 func (s Scenario) withRequests(change func(q *Requests)) Scenario {
 	return s.withOrganisations(func(o *Organisation) {
 		for i := range o.Requests {
@@ -226,8 +235,7 @@
 	})
 }
 
-// withOrganisations returns a copy in which change was applied to copies of
-// the organisations.
+// withOrganisations returns a copy in which change was applied to copies of the organisations.
 func (s Scenario) withOrganisations(change func(o *Organisation)) Scenario {
 	s.Organisations = slices.Clone(s.Organisations)
 	for i := range s.Organisations {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -33,7 +33,7 @@
 		})
 	}
 
-	It("names what is wrong with one", func() {
+	It("reports all faults of an invalid scenario", func() {
 		_, err := settings.Decode[scenario.Scenario]("s.yaml", []byte(`name: x
 duration: 1s
 zones: [a]
@@ -53,8 +53,8 @@
 	})
 })
 
-var _ = Describe("A changed scenario", func() {
-	It("leaves the one it was made from as it was", func() {
+var _ = Describe("A scaled, stretched and skewed scenario", func() {
+	It("does not change the original", func() {
 		s := read("../../scenarios/lima.yaml")
 		before := s.Plan(1)
 		big := s.Scaled(8).Stretched(4).Skewed()
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -18,17 +18,18 @@
 	"github.com/stepcroft/stepcroft/internal/fair"
 )
 
-// ErrInvalid means that a file's content cannot be used; the error's text
-// has a line for each fault.
+// ErrInvalid is matched by every error about the content of a file. The text of such an error
+// has one line for each fault.
 var ErrInvalid = errors.New("invalid settings")
 
-// Fault is one thing wrong in a file.
+// Fault is one mistake in a file.
 type Fault struct {
 	File string
 	Line int
-	// Field is the path of the field, such as limits.queue.
+	// Field is the path of the field in the document, such as limits.queue. It is empty if the
+	// field is not known.
 	Field string
-	// Problem says what is wrong and what is allowed.
+	// Problem says what is wrong and which values are allowed.
 	Problem string
 }
 
@@ -40,10 +41,10 @@
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Field, f.Problem)
 }
 
-// Faults is an error made of all that is wrong in a file.
+// Faults is an error that lists all mistakes in a file.
 type Faults []Fault
 
-// Error returns a line for each fault.
+// Error returns one line for each fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -52,13 +53,13 @@
 	return strings.Join(lines, "\n")
 }
 
-// Is makes errors.Is report that Faults is an ErrInvalid.
+// Is reports whether target is ErrInvalid; errors.Is calls it.
 func (Faults) Is(target error) bool { return target == ErrInvalid }
 
-// Duration is a length of time written with its unit, such as 700ms.
+// Duration is a time.Duration that is written with a unit in YAML, such as 700ms.
 type Duration time.Duration
 
-// UnmarshalYAML reads the form of time.ParseDuration.
+// UnmarshalYAML parses the value with time.ParseDuration.
 func (d *Duration) UnmarshalYAML(node *yaml.Node) error {
 	parsed, err := time.ParseDuration(node.Value)
 	if err != nil {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// ReadFile reads a file into a T; see Decode.
+// ReadFile reads a file that holds one YAML document into a T; see Decode.
 func ReadFile[T any](file string) (T, error) {
 	var zero T
 	data, err := os.ReadFile(file)
@@ -80,7 +81,7 @@
 	return Decode[T](file, data)
 }
 
-// ReadFileAll reads all documents of a file; see Decode.
+// ReadFileAll reads a file that may hold several YAML documents into one T each; see Decode.
 func ReadFileAll[T any](file string) ([]T, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -89,9 +90,9 @@
 	return DecodeAll[T](file, data)
 }
 
-// Decode reads one YAML document into a T, whose fields say in validate tags
-// what is allowed. All faults are returned at once, as Faults; file is the
-// name they give.
+// Decode reads one YAML document into a T and checks it against the validate tags of T's fields
+// and, if T is a Checker, against its Check method. It returns all faults at once, as Faults that
+// name the given file.
 func Decode[T any](file string, data []byte) (T, error) {
 	docs, err := DecodeAll[T](file, data)
 	if err != nil {
@@ -105,7 +106,8 @@
 	return docs[0], nil
 }
 
-// DecodeAll reads all YAML documents of a file; see Decode.
+// DecodeAll reads any number of YAML documents into one T each; see Decode. Each document is
+// decoded twice: into a T, and into a node that has the line numbers for the faults.
 func DecodeAll[T any](file string, data []byte) ([]T, error) {
 	var (
 		docs   []T
@@ -135,12 +137,14 @@
 	return docs, nil
 }
 
+// syntaxFault returns the fault for an error of the YAML parser, which stops at the first one.
 func syntaxFault(file string, err error) Fault {
 	line, problem := splitLine(strings.TrimPrefix(err.Error(), "yaml: "))
 	return Fault{File: file, Line: line, Problem: problem}
 }
 
-// splitLine takes a leading "line N: " off a message of the YAML library.
+// splitLine splits a message of the YAML library, "line N: problem", into line number and problem.
+// The line is 1 if the message has none.
 func splitLine(text string) (int, string) {
 	rest, ok := strings.CutPrefix(text, "line ")
 	if !ok {
@@ -154,6 +158,8 @@
 	return line, problem
 }
 
+// typeFaults returns the faults for an error of decoding a document into its Go type: unknown
+// fields and values of the wrong type.
 func typeFaults(file string, node *yaml.Node, err error) Faults {
 	if err == nil {
 		return nil
@@ -174,7 +180,8 @@
 	return faults
 }
 
-// fieldOf returns the path of the value at a line that a problem quotes.
+// fieldOf returns the path of the scalar value that stands on the given line and is quoted in the
+// problem, a message of the YAML library. It returns false if node has none.
 func fieldOf(node *yaml.Node, path string, line int, problem string) (string, bool) {
 	quoted := strings.Contains(problem, "`"+node.Value+"`") || strings.Contains(problem, strconv.Quote(node.Value))
 	if node.Kind == yaml.ScalarNode && node.Line == line && quoted {
@@ -211,13 +218,14 @@
 	return v
 }
 
-// must stops the program for a mistake in its own tables.
+// must panics if a validation could not be registered, which is a programming error.
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
+// isName reports whether s is not empty and consists of lower-case letters, digits and hyphens.
 func isName(s string) bool {
 	for _, c := range s {
 		lower := c >= 'a' && c <= 'z'
@@ -229,19 +237,22 @@
 	return s != ""
 }
 
-// Checker is implemented by types whose fields must agree with one another.
+// Checker is implemented by types with rules that validate tags cannot express, such as those
+// between several fields.
 type Checker interface {
-	// Check returns what is wrong, each under the path of a field.
+	// Check returns the rules that the value breaks.
 	Check() []Problem
 }
 
-// Problem is something wrong with a field.
+// Problem is a rule that a field breaks.
 type Problem struct {
-	// Field is the path of the field, such as pools[0].name.
+	// Field is the path of the field in the document, such as pools[0].name.
 	Field string
-	Text  string
+	// Text says what is wrong and which values are allowed.
+	Text string
 }
 
+// valueFaults returns the faults found by the validate tags and the Check method of doc.
 func valueFaults(file string, node *yaml.Node, doc any) Faults {
 	var faults Faults
 	var invalid validator.ValidationErrors
@@ -261,7 +272,7 @@
 	return faults
 }
 
-// explain says what a rule allows.
+// explain returns the text for a value that breaks the rule of a validate tag.
 func explain(e validator.FieldError) string {
 	param := e.Param()
 	if d, ok := durationParam(e); ok {
@@ -283,9 +294,11 @@
 	case "hostport":
 		return fmt.Sprintf("%q is no IP number and port, such as 10.0.0.1:8080", e.Value())
 	}
-	return fmt.Sprintf("breaks the rule %s %s", e.Tag(), param)
+	return fmt.Sprintf("violates the rule %s %s", e.Tag(), param)
 }
 
+// durationParam returns the limit that a rule sets for a Duration as text with a unit; the tag
+// has it in nanoseconds. It returns false if the field is no Duration.
 func durationParam(e validator.FieldError) (string, bool) {
 	if e.Type() != reflect.TypeFor[Duration]() {
 		return "", false
@@ -294,8 +307,8 @@
 	return time.Duration(n).String(), err == nil
 }
 
-// lineOf returns the line of a path such as pools[0].name, or of the nearest
-// parent that is there.
+// lineOf returns the line of the value at a path such as pools[0].name, or of its nearest
+// ancestor that exists.
 func lineOf(node *yaml.Node, path string) int {
 	if node.Kind == yaml.DocumentNode && len(node.Content) > 0 {
 		node = node.Content[0]
@@ -311,6 +324,8 @@
 	return line
 }
 
+// child returns the value of a mapping at a key or of a sequence at an index, or nil if there is
+// none.
 func child(node *yaml.Node, step string) *yaml.Node {
 	switch node.Kind {
 	case yaml.MappingNode:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the YAML files that operators write. It finds all
-// faults of a file at once and names file, line, field and what is allowed.
+// Package settings reads the YAML files that operators write. It reports all faults of a file at
+// once, each with its file, line and field and with the values that are allowed.
 package settings
 
 import (
@@ -10,39 +10,39 @@
 
 // Router is the settings file of one router.
 type Router struct {
-	// ID names the router in the fleet, as the platform's list of boxes does.
+	// ID is the router's name in the fleet, the same as in the platform's list of boxes.
 	ID   string `yaml:"id" validate:"required,max=63,name"`
 	Zone string `yaml:"zone" validate:"required,max=63,name"`
-	// Listen is the address for callers: IP number and port.
+	// Listen is the IP address and port for requests of callers.
 	Listen string `yaml:"listen" validate:"required"`
-	// PeerListen is the address for other routers.
+	// PeerListen is the IP address and port for messages of other routers.
 	PeerListen string `yaml:"peer_listen" validate:"required"`
-	// AdminListen is the address for metrics; empty means none.
+	// AdminListen is the IP address and port for metrics. If it is empty, metrics are not served.
 	AdminListen string `yaml:"admin_listen"`
-	// Platform is the address of the platform's object API.
+	// Platform is the IP address and port of the platform's object API.
 	Platform string `yaml:"platform" validate:"required"`
-	// ReportPeriod is how often the router reports to the others.
+	// ReportPeriod is the interval between the router's reports to the other routers.
 	ReportPeriod Duration `yaml:"report_period" validate:"omitempty,min=100000000,max=10000000000"`
-	// Timeout is after how long without a report a router counts as dead.
+	// Timeout is the time without a report after which another router counts as dead.
 	Timeout Duration `yaml:"timeout" validate:"omitempty,min=300000000,max=60000000000"`
-	// MaxWaiting is the most requests queued at this router.
+	// MaxWaiting is the maximum number of requests queued at this router.
 	MaxWaiting int `yaml:"max_waiting" validate:"min=0,max=1000000"`
-	// MaxConnections is the most connections of callers.
+	// MaxConnections is the maximum number of open connections from callers.
 	MaxConnections int `yaml:"max_connections" validate:"min=0,max=1000000"`
-	// DrainTimeout bounds a planned stop; 0 means two minutes.
+	// DrainTimeout limits the time that a planned shutdown takes; 0 means two minutes.
 	DrainTimeout Duration `yaml:"drain_timeout" validate:"min=0,max=3600000000000"`
 	Log          Log      `yaml:"log"`
 }
 
-// Log says what is logged and how.
+// Log configures the router's log.
 type Log struct {
 	// Format is text or json.
 	Format string `yaml:"format" validate:"omitempty,oneof=text json"`
-	// Level is 0 for the ordinary, 1 for a line a request.
+	// Level is the verbosity: 0 logs ordinary events, 1 also a line for each request.
 	Level int `yaml:"level" validate:"min=0,max=4"`
 }
 
-// Check tells what is wrong between fields.
+// Check implements Checker: it checks the addresses and the rules between fields.
 func (r Router) Check() []Problem {
 	var problems []Problem
 	problems = checkAddress(problems, "listen", r.Listen)
@@ -58,6 +58,7 @@
 	return problems
 }
 
+// checkAddress appends a problem to problems if the address is set but not valid.
 func checkAddress(problems []Problem, field, address string) []Problem {
 	if address == "" {
 		return problems
@@ -68,6 +69,7 @@
 	return problems
 }
 
+// anyPort reports whether the address has port 0, for which the system chooses a free port.
 func anyPort(address string) bool {
 	_, port, err := net.SplitHostPort(address)
 	return err == nil && port == "0"
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -43,17 +43,17 @@
 		strings.Replace(good, "700ms", "1ms", 1),
 		[]string{`f.yaml:6: report_period: is below the least allowed, 100ms`},
 	},
-	"fields that disagree": {
+	"fields that contradict each other": {
 		strings.Replace(good, "700ms", "1500ms", 1),
 		[]string{`f.yaml:7: timeout: is below twice report_period, 3s`},
 	},
-	"bad name":    {strings.Replace(good, "id: r1", "id: R_1", 1), []string{`f.yaml:1: id: "R_1" may hold only a-z, 0-9 and -`}},
-	"bad syntax":  {good + "log: {\n", []string{"f.yaml:8: did not find expected node content"}},
-	"wrong type":  {good + "max_waiting: many\n", []string{"f.yaml:8: max_waiting: cannot unmarshal !!str `many` into int"}},
-	"nested":      {good + "log: {format: xml}\n", []string{`f.yaml:8: log.format: "xml" is none of text, json`}},
-	"nothing":     {"", []string{"f.yaml:1: want one YAML document, found 0"}},
-	"two of them": {good + "---\n" + good, []string{"f.yaml:1: want one YAML document, found 2"}},
-	"all at once": {
+	"bad name":      {strings.Replace(good, "id: r1", "id: R_1", 1), []string{`f.yaml:1: id: "R_1" may hold only a-z, 0-9 and -`}},
+	"bad syntax":    {good + "log: {\n", []string{"f.yaml:8: did not find expected node content"}},
+	"wrong type":    {good + "max_waiting: many\n", []string{"f.yaml:8: max_waiting: cannot unmarshal !!str `many` into int"}},
+	"nested":        {good + "log: {format: xml}\n", []string{`f.yaml:8: log.format: "xml" is none of text, json`}},
+	"nothing":       {"", []string{"f.yaml:1: want one YAML document, found 0"}},
+	"two documents": {good + "---\n" + good, []string{"f.yaml:1: want one YAML document, found 2"}},
+	"several faults": {
 		strings.Replace(strings.Replace(good, "zone: a\n", "", 1), "timeout: 2s", "timeout: soon", 1) + "colour: red\n",
 		[]string{
 			"f.yaml:1: zone: is missing",
@@ -64,14 +64,14 @@
 }
 
 var _ = Describe("Decode", func() {
-	It("reads good settings", func() {
+	It("reads valid settings", func() {
 		r, err := settings.Decode[settings.Router]("f.yaml", []byte(good))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(time.Duration(r.ReportPeriod)).To(Equal(700 * time.Millisecond))
 	})
 
 	for name, c := range faultCases {
-		It("names file, line, field and what is allowed: "+name, func() {
+		It("reports file, line, field and allowed values: "+name, func() {
 			_, err := settings.Decode[settings.Router]("f.yaml", []byte(c.text))
 			Expect(errors.Is(err, settings.ErrInvalid)).To(BeTrue())
 			Expect(strings.Split(err.Error(), "\n")).To(Equal(c.faults))
@@ -85,7 +85,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, err := settings.Decode[settings.Router]("f.yaml", data)
 		if err != nil && !errors.Is(err, settings.ErrInvalid) {
-			t.Errorf("error is no ErrInvalid: %v", err)
+			t.Errorf("error does not match ErrInvalid: %v", err)
 		}
 	})
 }
