--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -22,23 +22,26 @@
 	"github.com/stepcroft/stepcroft/internal/standin"
 )
 
-// result is what a caller got for one request.
+// result is the result of one request, as its caller saw it. The zero value is a request without
+// an answer.
 type result struct {
 	outcome request.Outcome
 	reason  request.Reason
-	// content is the text of a whole answer; broken is set where a stream
-	// ended without its end.
+	// content is the text of the answer, concatenated if it was streamed.
 	content string
-	broken  bool
-	// firstToken and between are the times of a streamed answer.
+	// broken is set if the answer is truncated or not valid.
+	broken bool
+	// firstToken is the time from the request to the first token of a streamed answer, and
+	// between the times between its tokens.
 	firstToken time.Duration
 	between    []time.Duration
-	took       time.Duration
-	// unfinished is set where the run ended first.
+	// took is the time from the request to the end of the answer.
+	took time.Duration
+	// unfinished is set if the request was cut off by its timeout or by the end of the run.
 	unfinished bool
 }
 
-// caller makes requests the way a client program would.
+// caller sends requests as a caller's program would.
 type caller struct {
 	client *http.Client
 	fleet  *fleet
@@ -53,7 +56,7 @@
 
 func (c *caller) stop() { c.client.CloseIdleConnections() }
 
-// do makes one request and reads its answer.
+// do sends one request and reads its answer.
 func (c *caller) do(ctx context.Context, a scenario.Arrival) result {
 	start := clock.Now()
 	res, err := c.send(ctx, a)
@@ -80,8 +83,8 @@
 	return r
 }
 
-// send sends a request to its router, and where no connection can be had or
-// the router is leaving to the next one, as clients should.
+// send sends a request to its router. If the connection fails or the router is shutting down, it
+// tries the next router, as callers should.
 func (c *caller) send(ctx context.Context, a scenario.Arrival) (*http.Response, error) {
 	var (
 		res *http.Response
@@ -104,12 +107,14 @@
 	return res, err
 }
 
-// notDialled reports whether a request failed before there was a connection.
+// notDialled reports whether a request failed because no connection could be opened, so that it
+// certainly did not run.
 func notDialled(err error) bool {
 	var failed *net.OpError
 	return errors.As(err, &failed) && failed.Op == "dial"
 }
 
+// request builds the request for the router with the given index, modulo the number of routers.
 func (c *caller) request(ctx context.Context, a scenario.Arrival, index int) (*http.Request, error) {
 	router := c.fleet.routers[index%len(c.fleet.routers)]
 	url := "http://" + router.Address() + "/v1/chat/completions"
@@ -132,6 +137,7 @@
 	return req, nil
 }
 
+// readWhole reads an answer that is not streamed into r.
 func readWhole(body io.Reader, a scenario.Arrival, r *result) {
 	data, err := io.ReadAll(body)
 	if err != nil {
@@ -156,7 +162,7 @@
 	r.content = answer.Choices[0].Message.Content
 }
 
-// readStream reads server-sent events up to the end marker.
+// readStream reads a stream of server-sent events, up to its end marker, into r.
 func readStream(body io.Reader, start time.Time, r *result) {
 	var content strings.Builder
 	reader := bufio.NewReader(body)
@@ -187,6 +193,7 @@
 	r.content = content.String()
 }
 
+// readEvent adds the data of one event to content, or to r if the event reports an error.
 func readEvent(data []byte, content *strings.Builder, r *result) {
 	var event struct {
 		Choices []struct {
@@ -210,7 +217,7 @@
 	}
 }
 
-// expected returns the whole answer to a request.
+// expected returns the content that the complete answer to a request must have.
 func expected(a scenario.Arrival) string {
 	if a.Requests.Service != "" {
 		return a.Tag
--- a/internal/load/fault.go
+++ b/internal/load/fault.go
@@ -9,7 +9,7 @@
 	"github.com/stepcroft/stepcroft/internal/standin"
 )
 
-// inject turns a fault on or off.
+// inject turns a fault on or off at its target.
 func (f *fleet) inject(g *group.Group, fault scenario.Fault, on bool) {
 	set := fault.Set
 	if !on {
@@ -30,6 +30,8 @@
 	}
 }
 
+// injectRouter turns a fault on or off at the i-th router. Only a cut ends again; a router that was
+// stopped or drained stays so.
 func (f *fleet) injectRouter(g *group.Group, i int, fault scenario.Fault, on bool) {
 	r := f.routers[i]
 	switch {
--- a/internal/load/fleet.go
+++ b/internal/load/fleet.go
@@ -18,21 +18,27 @@
 	"github.com/stepcroft/stepcroft/internal/standin"
 )
 
+// loopback is the address to listen on: a free port of the loopback interface.
 const loopback = "127.0.0.1:0"
 
-// fleet is the stand-ins and routers of one run.
+// fleet holds the stand-ins and routers of one run.
 type fleet struct {
 	platform *standin.Platform
+	// engines are the engines by name.
 	engines  map[string]*standin.Engine
 	services []*standin.Service
 	routers  []*router.Router
-	clients  []*platform.Client
-	stopped  map[int]bool
+	// clients are the routers' clients of the platform.
+	clients []*platform.Client
+	// stopped holds the indexes of the routers that a fault stopped.
+	stopped map[int]bool
 }
 
-// keyOf returns an organisation's API key in a run.
+// keyOf returns the API key of an organisation.
 func keyOf(organisation string) string { return "key-of-" + organisation }
 
+// startFleet starts the stand-ins and routers of a scenario. An empty policy leaves each pool its
+// own.
 func startFleet(s *scenario.Scenario, o Options, policy string, l *ledger.Ledger) (*fleet, error) {
 	f := &fleet{engines: map[string]*standin.Engine{}, stopped: map[int]bool{}}
 	if err := f.start(s, o, policy, l); err != nil {
@@ -104,6 +110,7 @@
 	return nil
 }
 
+// seed writes the scenario's pools and organisations to the platform.
 func (f *fleet) seed(s *scenario.Scenario) error {
 	for _, p := range s.Pools {
 		spec := config.Pool{Name: p.Name, Policy: p.Policy, PromptCost: p.PromptCost}
@@ -126,6 +133,8 @@
 	return nil
 }
 
+// startRouters starts the routers. The omniscient policy is a single router, which knows the whole
+// load, under the policy "local".
 func (f *fleet) startRouters(s *scenario.Scenario, o Options, policy string) error {
 	n := s.Routers
 	if policy == report.Omniscient {
@@ -155,7 +164,7 @@
 	return f.settle(n)
 }
 
-// settle waits until every router knows all the others.
+// settle waits until each of the n routers knows all the others and every engine has an owner.
 func (f *fleet) settle(n int) error {
 	deadline := clock.Now().Add(20 * time.Second)
 	for _, r := range f.routers {
@@ -165,7 +174,7 @@
 				break
 			}
 			if clock.Now().After(deadline) {
-				return errors.Errorf("routers did not find one another: %+v", status)
+				return errors.Errorf("routers did not discover one another and all engines in time; status of one: %+v", status)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -173,6 +182,7 @@
 	return nil
 }
 
+// owned returns the number of engines that routers own.
 func (f *fleet) owned() int {
 	n := 0
 	for _, r := range f.routers {
@@ -181,7 +191,7 @@
 	return n
 }
 
-// stop ends everything that was started.
+// stop stops all routers, clients and stand-ins that are still running.
 func (f *fleet) stop() {
 	for i, r := range f.routers {
 		if !f.stopped[i] {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -28,7 +28,7 @@
 }
 
 var _ = Describe("Run", func() {
-	It("loses, doubles and mixes up nothing under any policy", func() {
+	It("loses no request, runs none twice and gives no wrong answer under any policy", func() {
 		s := read("../cli/demo.yaml")
 		s.Duration = settings.Duration(2 * time.Second)
 		got, err := load.Run(context.Background(), &s, load.Options{
@@ -43,7 +43,7 @@
 		}
 	})
 
-	It("keeps the promises when a router stops, an engine leaves and the platform is out", func() {
+	It("runs no request twice and gives no wrong answer when a router stops, another is cut off, an engine is leaving and the platform is unavailable", func() {
 		s := read("../cli/demo.yaml")
 		s.Duration = settings.Duration(4 * time.Second)
 		second := settings.Duration(time.Second)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -1,6 +1,8 @@
-// Package load runs real routers and stand-ins on loopback under the load of a
-// scenario, and keeps a ledger of what callers asked for and what engines
-// served. It is a load generator and a ledger, no cluster simulator.
+// Package load runs a scenario as a load test: it starts real routers, and stand-ins of targets and
+// the platform, on the loopback interface, sends the scenario's requests and injects its faults.
+// What became of the requests is measured from the callers' answers and from a ledger of what the
+// targets served, not from the routers' own counters. It is a load generator, not a cluster
+// simulator: routers exchange real messages in real time.
 package load
 
 import (
@@ -20,17 +22,18 @@
 	"github.com/stepcroft/stepcroft/internal/scenario"
 )
 
-// Options are the parameters of a run.
+// Options are the parameters of a load test.
 type Options struct {
+	// Policies are the fair policies to run the scenario under; "default" leaves each pool its own.
 	Policies []string
 	Seed     uint64
-	// ViewDelay holds routers' reports back before they are used.
+	// ViewDelay delays the use of other routers' reports.
 	ViewDelay time.Duration
-	// Progress gets a line now and then; nil means none.
+	// Progress receives a line of progress every second; nil means none.
 	Progress io.Writer
 }
 
-// Run runs a scenario under each policy in turn.
+// Run runs a scenario under each policy, one after the other, with the same requests.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (report.Comparison, error) {
 	invariant.Strict()
 	arrivals := s.Plan(o.Seed)
@@ -46,7 +49,7 @@
 	return out, nil
 }
 
-// run is one scenario under one policy.
+// run is the run of a scenario under one policy.
 type run struct {
 	scenario *scenario.Scenario
 	ledger   *ledger.Ledger
@@ -54,6 +57,7 @@
 	caller   *caller
 	group    *group.Group
 
+	// mu guards tally.
 	mu    sync.Mutex
 	tally *tally
 }
@@ -87,7 +91,7 @@
 	return r.tally.result(policy, measured, traffic, took), ctx.Err()
 }
 
-// arrive sends each request at its time.
+// arrive starts each request at its time, without waiting for the answers of earlier ones.
 func (r *run) arrive(arrivals []scenario.Arrival, start time.Time) {
 	ctx := r.group.Context()
 	for _, a := range arrivals {
@@ -99,7 +103,7 @@
 	}
 }
 
-// one makes one request and checks its answer.
+// one sends a request and counts its result.
 func (r *run) one(ctx context.Context, a scenario.Arrival) {
 	ctx, cancel := context.WithTimeout(ctx, a.Deadline+5*time.Second)
 	defer cancel()
@@ -110,7 +114,7 @@
 	r.tally.add(a, got)
 }
 
-// sample reads the ledger until the run ends.
+// sample takes samples of the ledger and prints progress lines until the run ends.
 func (r *run) sample(ctx context.Context, o Options, policy string, start time.Time) {
 	ticker := time.NewTicker(ledger.SampleInterval)
 	defer ticker.Stop()
@@ -132,7 +136,7 @@
 	}
 }
 
-// inject brings about the scenario's faults.
+// inject turns the scenario's faults on and off at their times.
 func (r *run) inject(ctx context.Context, start time.Time) {
 	type step struct {
 		at    time.Duration
@@ -155,7 +159,7 @@
 	}
 }
 
-// ended reports whether an outcome is one that callers may be told.
+// ended reports whether o is one of the outcomes that an answer to a caller may have.
 func ended(o request.Outcome) bool {
 	return o == request.Completed || o == request.NotRun || o == request.Unknown
 }
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -12,16 +12,23 @@
 	"github.com/stepcroft/stepcroft/internal/scenario"
 )
 
-// measured is what the ledger tells at the end of a run.
+// measured holds what is computed from the ledger at the end of a run.
 type measured struct {
-	gap        ledger.Gap
-	series     []float64
+	// gap is the largest fairness gap, and series the gap over time.
+	gap    ledger.Gap
+	series []float64
+	// busy is the fraction of slot time that was used, and idle the fraction that was not used
+	// although requests waited.
 	busy, idle float64
-	// doubled and notRunButRan are counted after the last request has ended.
+	// doubled counts the requests that ran more than once although they must not be repeated,
+	// and notRunButRan those that ran although callers were told that they did not. Both are
+	// counted after the last request has ended.
 	doubled, notRunButRan int
-	service               map[string]float64
+	// service is the cost served for each organisation.
+	service map[string]float64
 }
 
+// measure reads the ledger when the load ends, before unfinished requests are cancelled.
 func measure(l *ledger.Ledger) measured {
 	m := measured{service: l.ServedCost()}
 	m.gap, m.series = l.Gaps()
@@ -29,24 +36,32 @@
 	return m
 }
 
-// count counts broken promises.
+// count reads the counts that are final only after all requests have ended.
 func (m *measured) count(l *ledger.Ledger) {
 	m.doubled, m.notRunButRan = l.RunTwice(), l.NotRunButRan()
 }
 
-// tally counts what callers got.
+// tally counts the results of requests, as their callers saw them.
 type tally struct {
+	// completed counts correct answers, late those of them after the deadline, lost requests
+	// without a known outcome, wrong answers with wrong content, and unfinished requests that
+	// were cut off by their timeout or by the end of the run.
 	completed, late, lost, wrong, unfinished int
 	organisations                            map[string]*organisationTally
-	order                                    []string
-	first, between                           *hdrhistogram.Histogram
+	// order holds the organisations' names in the order of the scenario.
+	order []string
+	// first and between hold the times to the first token and between tokens, in microseconds.
+	first, between *hdrhistogram.Histogram
 }
 
+// organisationTally counts the results of one organisation's requests.
 type organisationTally struct {
 	weight    float64
 	completed int
-	refused   map[request.Reason]int
-	first     *hdrhistogram.Histogram
+	// refused counts the requests that did not complete, by reason.
+	refused map[request.Reason]int
+	// first holds the times to the first token, in microseconds.
+	first *hdrhistogram.Histogram
 }
 
 func newTally(s *scenario.Scenario) *tally {
@@ -60,7 +75,7 @@
 	return t
 }
 
-// add books one answer.
+// add counts the result of one request.
 func (t *tally) add(a scenario.Arrival, r result) {
 	o := t.organisations[a.Organisation]
 	switch {
@@ -79,6 +94,7 @@
 	}
 }
 
+// complete counts a correct answer.
 func (t *tally) complete(o *organisationTally, a scenario.Arrival, r result) {
 	t.completed++
 	o.completed++
@@ -94,6 +110,7 @@
 	}
 }
 
+// refusals returns the number of requests that were refused or broke off.
 func (t *tally) refusals() int {
 	n := 0
 	for _, o := range t.organisations {
@@ -104,6 +121,7 @@
 	return n
 }
 
+// result returns the report of a run that took the given time.
 func (t *tally) result(policy string, m measured, all traffic, took time.Duration) report.PolicyResult {
 	perRouter := took.Seconds() * float64(len(all.routers))
 	c := all.sum()
@@ -133,6 +151,7 @@
 	return p
 }
 
+// part returns n as a fraction of a total, or 0 if there is no total.
 func part(n, of int64) float64 {
 	if of <= 0 {
 		return 0
--- a/internal/load/traffic.go
+++ b/internal/load/traffic.go
@@ -6,26 +6,33 @@
 	"github.com/stepcroft/stepcroft/internal/report"
 )
 
-// traffic is running totals of control traffic.
+// traffic holds totals of control traffic and of routing decisions, since the start of the fleet or
+// for an interval.
 type traffic struct {
 	routers []routerTraffic
-	// calls is the number of calls that the platform answered.
+	// calls is the number of calls that the platform received.
 	calls int64
 }
 
-// routerTraffic is one router's part of it.
+// routerTraffic holds the totals of one router.
 type routerTraffic struct {
-	name        string
-	engines     int
-	bytes       int64
-	messages    int64
+	name string
+	// engines is the number of engines that the router owns.
+	engines int
+	// bytes and messages count what the router sent to other routers.
+	bytes    int64
+	messages int64
+	// granted counts the slots that the router granted to other routers, and declined those of
+	// them that the others did not use. substituted counts the slots granted by other routers
+	// for one organisation that the router used for another.
 	granted     int64
 	declined    int64
 	substituted int64
-	local       int64
+	// local counts the requests that the router sent to its own engines.
+	local int64
 }
 
-// traffic reads the totals; a stopped router has none.
+// traffic returns the totals so far. Those of a stopped router are 0.
 func (f *fleet) traffic() traffic {
 	t := traffic{calls: f.platform.Calls()}
 	for i, r := range f.routers {
@@ -42,7 +49,8 @@
 	return t
 }
 
-// since returns what was added to earlier totals.
+// since returns the increase since earlier totals. For a router that was stopped in between, whose
+// totals are gone, it is 0.
 func (t traffic) since(before traffic) traffic {
 	t.calls -= before.calls
 	for i, b := range before.routers {
@@ -57,7 +65,7 @@
 	return t
 }
 
-// sum adds the routers up.
+// sum returns the totals of all routers together.
 func (t traffic) sum() routerTraffic {
 	var sum routerTraffic
 	for _, r := range t.routers {
@@ -72,7 +80,7 @@
 	return sum
 }
 
-// results returns the routers' parts for a report.
+// results returns each router's totals for the report of a run that took the given time.
 func (t traffic) results(took time.Duration) []report.RouterResult {
 	var list []report.RouterResult
 	for _, r := range t.routers {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -16,42 +16,46 @@
 	"github.com/stepcroft/stepcroft/internal/port"
 )
 
-// Observer is told what an engine or service does, for a ledger of the load
-// tool. Tag is what the caller wrote into its request; see Prompt.
+// Observer is notified of the progress of requests in an engine or service. A request is
+// identified by the tag that its caller put into the prompt; see Prompt. For a service, the tag is
+// the body of the request.
 type Observer interface {
-	// Began is called when a request gets a slot.
+	// Began is called when a request starts to run in a slot.
 	Began(tag string)
-	// Served is called with the cost units served since the last call.
+	// Served is called with the cost served for a request since the last call, in units of one
+	// generated token.
 	Served(tag string, cost float64)
-	// Ended is called when a request leaves its slot; whole is set if it ran
-	// to its end.
+	// Ended is called when a request leaves its slot; whole is set if it ran to completion.
 	Ended(tag string, whole bool)
-	// Resumed is called when a broken answer is continued in a slot.
+	// Resumed is called instead of Began when a request runs to continue a broken answer.
 	Resumed(tag string)
 }
 
-// EngineOptions describe an engine.
+// EngineOptions configure an engine.
 type EngineOptions struct {
+	// Address is the address to listen on.
 	Address string
-	Slots   int
-	// PrefillRate is the number of prompt tokens processed a second.
+	// Slots is the number of requests that run at the same time.
+	Slots int
+	// PrefillRate is the number of prompt tokens processed per second; 0 means that this takes
+	// no time.
 	PrefillRate float64
 	// TokenTime is the time between two generated tokens.
 	TokenTime time.Duration
-	// PromptCost is the cost of one prompt token in generated tokens.
+	// PromptCost is the cost of one prompt token in units of one generated token.
 	PromptCost float64
-	// CacheTokens is the size of the cache of prompt prefixes, in tokens.
+	// CacheTokens is the capacity of the cache of prompt prefixes, in tokens.
 	CacheTokens int
-	// ChecksEpoch makes the engine refuse orders of an epoch lower than the
-	// highest it has seen.
+	// ChecksEpoch makes the engine refuse orders whose epoch is lower than the highest one
+	// received.
 	ChecksEpoch bool
 	// Observer may be nil.
 	Observer Observer
 }
 
-// Engine stands in for a model engine that batches continuously: a fixed
-// number of requests run side by side at a fixed pace, others wait by
-// priority. Use NewEngine to make one.
+// Engine is a stand-in of a model engine with continuous batching: a fixed number of requests runs
+// concurrently, each generating tokens at a fixed rate, and the others wait in a priority queue.
+// Use NewEngine to make one.
 type Engine struct {
 	faultSwitch
 	options EngineOptions
@@ -60,30 +64,36 @@
 	mu      sync.Mutex
 	running int
 	queue   waiters
-	next    int
-	loads   []timedLoad
-	broken  map[string]brokenAnswer
-	epoch   uint64
-	orders  []port.Order
-	cache   *prefixCache
+	// next is the last sequence number given to a waiter.
+	next int
+	// loads holds past loads, oldest first, for reports that are late.
+	loads []timedLoad
+	// broken holds the answers that broke off, by request ID.
+	broken map[string]brokenAnswer
+	// epoch is the highest epoch of an order received.
+	epoch  uint64
+	orders []port.Order
+	cache  *prefixCache
 }
 
 // brokenAnswer is an answer that broke off and can be continued.
 type brokenAnswer struct {
-	job    job
+	job job
+	// events is the number of events sent before the answer broke off.
 	events int
 	at     time.Time
 }
 
-// resumeWindow is for how long a broken answer can be continued.
+// resumeWindow is the time during which a broken answer can be continued.
 const resumeWindow = 10 * time.Second
 
+// timedLoad is the engine's load at a moment.
 type timedLoad struct {
 	at   time.Time
 	load port.EngineLoad
 }
 
-// NewEngine serves an engine.
+// NewEngine starts an engine that listens on o.Address.
 func NewEngine(o EngineOptions) (*Engine, error) {
 	e := &Engine{options: o, broken: map[string]brokenAnswer{}, cache: newPrefixCache(o.CacheTokens)}
 	var err error
@@ -91,13 +101,13 @@
 	return e, err
 }
 
-// Address returns the address that it listens on.
+// Address returns the address that the engine listens on.
 func (e *Engine) Address() string { return e.server.Address() }
 
-// Stop ends it.
+// Stop stops the engine.
 func (e *Engine) Stop() { e.server.Stop() }
 
-// ServeHTTP answers a call.
+// ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/faults" {
 		e.serve(w, r)
@@ -122,7 +132,8 @@
 	}
 }
 
-// load returns the load as it was a while ago, if reports are late.
+// load returns the engine's load. If load reports are late, it is the load of that time ago, as far
+// as it was recorded: each call records one.
 func (e *Engine) load() port.EngineLoad {
 	f := e.get()
 	e.mu.Lock()
@@ -142,15 +153,15 @@
 	return late
 }
 
+// completionBody is the part of a chat completion request that the engine reads.
 type completionBody struct {
 	Messages []struct {
 		Content string `json:"content"`
 	} `json:"messages"`
 }
 
-// Prompt returns the content of a message that makes a stand-in engine
-// generate a number of tokens, each of them naming tag, after processing a
-// number of prompt tokens.
+// Prompt returns the content of a message that makes a stand-in engine process the given number of
+// prompt tokens and then generate the given number of tokens, each of which contains tag.
 func Prompt(tag string, prompt, tokens int) string {
 	return fmt.Sprintf("tag=%s prompt=%d tokens=%d", tag, prompt, tokens)
 }
@@ -158,17 +169,22 @@
 // Token returns the i-th token that a stand-in engine generates for a tag.
 func Token(tag string, i int) string { return tag + ":" + strconv.Itoa(i) + " " }
 
-// bytesPerToken is what the stand-in takes a token of a prompt to be.
+// bytesPerToken is the assumed length of a prompt token in bytes.
 const bytesPerToken = 4
 
+// job is the work that a request's prompt asks for.
 type job struct {
-	tag    string
+	tag string
+	// prompt is the number of prompt tokens.
 	prompt int
+	// tokens is the number of tokens to generate.
 	tokens int
-	// cached is the number of prompt tokens that need no processing.
+	// cached is the number of prompt tokens whose prefix is cached, which take no time.
 	cached int
 }
 
+// parseJob parses the content of a message made with Prompt. What is missing is estimated from the
+// length of the content or gets a default.
 func parseJob(content string) job {
 	j := job{tag: "none", prompt: len(content)/bytesPerToken + 1, tokens: 16}
 	for field := range strings.FieldsSeq(content) {
@@ -186,6 +202,8 @@
 	return j
 }
 
+// complete serves a chat completion. A request with several messages is taken to have the first one
+// as shared prompt prefix.
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
 	if f := e.get(); f.Leaving || f.Refuse {
 		w.Header().Set(engine.HeaderNotRun, "1")
@@ -221,8 +239,9 @@
 	e.run(w, j, r.Header.Get(engine.HeaderRequestID), from, resumed)
 }
 
-// continues reports whether a request's answer broke off at this engine after
-// at least so many events, and takes it up.
+// continues reports whether the answer to a request can be continued after its first events, whose
+// number is from: it broke off here, not too long ago and not before that event. The answer is
+// forgotten either way.
 func (e *Engine) continues(id string, from int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -231,7 +250,7 @@
 	return ok && !e.get().ForgetBroken && from <= b.events && clock.Since(b.at) < resumeWindow
 }
 
-// breakOff remembers an answer that broke off.
+// breakOff remembers an answer that broke off, and forgets those that are too old.
 func (e *Engine) breakOff(id string, j job, events int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -244,7 +263,8 @@
 	e.broken[id] = brokenAnswer{job: j, events: events, at: now}
 }
 
-// run generates a job's tokens from the given one on at the engine's pace.
+// run processes a job's prompt and writes its tokens, beginning with the token from, at the
+// engine's rate. A resumed job skips the processing of the prompt.
 func (e *Engine) run(w http.ResponseWriter, j job, id string, from int, resumed bool) {
 	whole := false
 	e.began(j, resumed)
@@ -279,16 +299,19 @@
 	whole = true
 }
 
+// tokenEvent returns the server-sent event for one token.
 func tokenEvent(token string) string {
 	return `data: {"choices":[{"index":0,"delta":{"content":` + strconv.Quote(token) + "}}]}\n\n"
 }
 
+// usageEvent returns the events that end a stream: the token counts and the end marker.
 func usageEvent(j job) string {
 	return fmt.Sprintf(`data: {"choices":[{"index":0,"delta":{},"finish_reason":"stop"}],`+
 		`"usage":{"prompt_tokens":%d,"completion_tokens":%d,"prompt_tokens_details":{"cached_tokens":%d}}}`+
 		"\n\ndata: [DONE]\n\n", j.prompt, j.tokens, j.cached)
 }
 
+// flush sends what was written so far to the caller.
 func flush(w http.ResponseWriter) {
 	if f, ok := w.(http.Flusher); ok {
 		f.Flush()
--- a/internal/standin/enginecache.go
+++ b/internal/standin/enginecache.go
@@ -12,27 +12,31 @@
 	"github.com/stepcroft/stepcroft/internal/port"
 )
 
-// keptEvents is the number of cache events an engine keeps; older ones are
-// lost to whoever has not read them.
+// keptEvents is the number of latest cache events that an engine keeps. Older ones are dropped,
+// whether they were read or not.
 const keptEvents = 256
 
-// prefixCache is an engine's cache of processed prompt prefixes, bounded in
-// tokens; the one unused longest goes first.
+// prefixCache is an engine's cache of processed prompt prefixes. It is limited in tokens and evicts
+// the least recently used prefix.
 type prefixCache struct {
-	mu       sync.Mutex
+	mu sync.Mutex
+	// capacity and used are in tokens.
 	capacity int
 	used     int
+	// order holds the prefixes, most recently used first.
 	order    *list.List
 	entries  map[string]*list.Element
 	events   []timedEvent
 	sequence uint64
 }
 
+// cached is a prefix in the cache.
 type cached struct {
 	prefix string
 	tokens int
 }
 
+// timedEvent is a cache event with the time when it happened.
 type timedEvent struct {
 	at    time.Time
 	event port.CacheEvent
@@ -42,15 +46,16 @@
 	return &prefixCache{capacity: tokens, order: list.New(), entries: map[string]*list.Element{}}
 }
 
-// PrefixKey returns the key under which engines report a prompt's prefix: the
-// hash of the first message of several.
+// PrefixKey returns the key under which engines report the prefix of a prompt with several
+// messages: the hash of the first message.
 func PrefixKey(first string) string {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(first))
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// use returns how many tokens of a prefix are cached, and caches it.
+// use returns the number of tokens that are cached of a prefix, and adds the prefix to the cache or
+// marks it as recently used. A prefix larger than the capacity is not cached.
 func (c *prefixCache) use(prefix string, tokens int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,6 +75,7 @@
 	return 0
 }
 
+// evict removes the least recently used prefix.
 func (c *prefixCache) evict() {
 	e := c.order.Back()
 	gone := e.Value.(cached)
@@ -79,6 +85,7 @@
 	c.note(gone.prefix, gone.tokens, false)
 }
 
+// note records an event: a prefix was stored or evicted.
 func (c *prefixCache) note(prefix string, tokens int, stored bool) {
 	c.sequence++
 	c.events = append(c.events, timedEvent{clock.Now(), port.CacheEvent{
@@ -89,8 +96,8 @@
 	}
 }
 
-// since returns the events after a sequence number that are old enough to be
-// told, leaving out every dropped-th of them.
+// since returns the events after a sequence number that are at least of the given age. If dropped
+// is not 0, events whose sequence number is a multiple of it are left out.
 func (c *prefixCache) since(sequence uint64, age time.Duration, dropped uint64) []port.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/engineorders.go
+++ b/internal/standin/engineorders.go
@@ -9,15 +9,14 @@
 	"github.com/stepcroft/stepcroft/internal/port"
 )
 
-// Orders returns the orders that took effect, in order.
+// Orders returns the orders that the engine accepted, oldest first.
 func (e *Engine) Orders() []port.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]port.Order(nil), e.orders...)
 }
 
-// serveOrder carries an order out, unless the engine checks epochs and has
-// seen a higher one.
+// serveOrder accepts an order, unless the engine checks epochs and has received a higher one.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o port.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -35,14 +34,15 @@
 	writeJSON(w, http.StatusOK, o)
 }
 
-// exported is what the stand-in exports as the KV cache of a broken answer.
+// exported stands for the exported KV cache of a broken answer. It holds what another stand-in
+// needs to continue the answer.
 type exported struct {
 	Content string `json:"content"`
 	Events  int    `json:"events"`
 }
 
-// serveKV exports the KV cache of a broken answer, or imports one, after
-// which this engine can continue the answer.
+// serveKV exports the KV cache of a broken answer (GET) or imports one (PUT), after which this
+// engine can continue the answer.
 func (e *Engine) serveKV(w http.ResponseWriter, r *http.Request) {
 	id := strings.TrimPrefix(r.URL.Path, engine.PathKV)
 	if r.Method == http.MethodPut {
--- a/internal/standin/enginequeue.go
+++ b/internal/standin/enginequeue.go
@@ -12,11 +12,16 @@
 // waiter is a request that waits inside the engine for a slot.
 type waiter struct {
 	priority int
+	// sequence is the order of arrival among the waiters of a priority.
 	sequence int
-	index    int
-	turn     chan struct{}
+	// index is the position in the heap, or -1 if the waiter has left it.
+	index int
+	// turn is closed when the waiter gets a slot.
+	turn chan struct{}
 }
 
+// waiters is a heap of waiters, the highest priority first and within a priority in order of
+// arrival.
 type waiters []*waiter
 
 func (q waiters) Len() int { return len(q) }
@@ -47,7 +52,7 @@
 	return w
 }
 
-// acquire waits for a slot; it returns false if the caller went away.
+// acquire waits for a slot. It returns false if the caller disconnected first.
 func (e *Engine) acquire(w http.ResponseWriter, priority int) bool {
 	e.mu.Lock()
 	if e.running < e.options.Slots {
@@ -73,8 +78,7 @@
 	}
 }
 
-// abandon takes a waiter out of the queue; it returns false if the waiter
-// has a slot already.
+// abandon removes a waiter from the queue. It returns false if the waiter has got a slot already.
 func (e *Engine) abandon(me *waiter) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -85,6 +89,7 @@
 	return true
 }
 
+// release frees a slot, or passes it to the first waiter.
 func (e *Engine) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -95,7 +100,7 @@
 	close(heap.Pop(&e.queue).(*waiter).turn)
 }
 
-// Drained waits until the engine runs nothing.
+// Drained waits until no request runs or waits in the engine, or until ctx is done.
 func (e *Engine) Drained(ctx context.Context) error {
 	for {
 		e.mu.Lock()
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -7,36 +7,40 @@
 	"time"
 )
 
-// Faults are the switches of a stand-in, set with POST /v1/faults. The zero
-// value means that it works.
+// Faults are the faults that a stand-in simulates, set with POST /v1/faults. The zero value means
+// none.
 type Faults struct {
-	// DelayMS is added to each answer, in milliseconds, 0 to 60,000.
+	// DelayMS delays each answer, in milliseconds, 0 to 60,000.
 	DelayMS int `json:"delay_ms" yaml:"delay_ms" validate:"min=0,max=60000"`
 	// Outage makes every call fail.
 	Outage bool `json:"outage" yaml:"outage"`
-	// LoseAnswers lets calls take effect but drops their answers.
+	// LoseAnswers makes the platform carry out writes, and services requests, without returning
+	// the answer.
 	LoseAnswers bool `json:"lose_answers" yaml:"lose_answers"`
-	// Leaving makes an engine or service say that it is leaving and refuse
-	// new requests.
+	// Leaving makes an engine or service refuse new requests as not run, and an engine report
+	// that it is shutting down.
 	Leaving bool `json:"leaving" yaml:"leaving"`
 	// Refuse makes an engine or service refuse requests as not run.
 	Refuse bool `json:"refuse" yaml:"refuse"`
-	// BreakAfter ends an engine's streams after so many tokens; 0 never.
+	// BreakAfter is the number of tokens after which an engine breaks off each answer; 0 means
+	// never.
 	BreakAfter int `json:"break_after" yaml:"break_after" validate:"min=0"`
 	// ForgetBroken makes an engine refuse to continue broken answers.
 	ForgetBroken bool `json:"forget_broken" yaml:"forget_broken"`
-	// DropEvents leaves out every so many-th cache event; 0 none.
+	// DropEvents makes an engine not report every n-th cache event, with n as the value; 0 means
+	// that all are reported.
 	DropEvents int `json:"drop_events" yaml:"drop_events" validate:"min=0"`
-	// Reorder makes the platform tell changes in the reverse order.
+	// Reorder makes the platform return changes in reverse order.
 	Reorder bool `json:"reorder" yaml:"reorder"`
-	// LateLoadMS is how old an engine's load reports and cache events are, in
-	// milliseconds.
+	// LateLoadMS is the age of an engine's load reports and cache events when they are returned,
+	// in milliseconds.
 	LateLoadMS int `json:"late_load_ms" yaml:"late_load_ms" validate:"min=0,max=60000"`
 }
 
-// faultSwitch holds the faults in force.
+// faultSwitch holds the faults in force. Stand-ins embed it.
 type faultSwitch struct{ current atomic.Pointer[Faults] }
 
+// get returns the faults in force.
 func (s *faultSwitch) get() Faults {
 	if f := s.current.Load(); f != nil {
 		return *f
@@ -44,7 +48,7 @@
 	return Faults{}
 }
 
-// SetFaults puts faults in force in place of the earlier ones.
+// SetFaults replaces the faults in force.
 func (s *faultSwitch) SetFaults(f Faults) { s.current.Store(&f) }
 
 // serve handles POST /v1/faults.
@@ -58,8 +62,8 @@
 	writeJSON(w, http.StatusOK, f)
 }
 
-// hold waits for the delay in force; it returns false in an outage, when the
-// answer has been given already.
+// hold waits for the delay in force. In an outage it writes an error as the answer and returns
+// false.
 func (s *faultSwitch) hold(w http.ResponseWriter) bool {
 	f := s.get()
 	if f.DelayMS > 0 {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what the router meets outside
-// itself: the platform's object API, model engines and plain services. Each
-// speaks the protocol written down in docs/ and has switches for faults.
+// Package standin provides stand-ins of the systems that routers talk to, for tests and
+// demonstrations: the platform's object API, model engines and plain services. Each speaks the
+// protocol that docs/ describes and can simulate faults.
 package standin
 
 import (
@@ -20,37 +20,45 @@
 )
 
 const (
-	// writesPerSecond and readsPerSecond are the platform's capacity.
+	// writesPerSecond and readsPerSecond are the rates above which the platform refuses calls.
 	writesPerSecond = 100
 	readsPerSecond  = 2000
-	// maxWatch is the longest that a watch may wait.
+	// maxWatch is the longest time that a call for changes may wait for one.
 	maxWatch = 30 * time.Second
-	// objectPrefix is the path under which objects live.
+	// objectPrefix is the path prefix of objects; kind and name follow.
 	objectPrefix = "/v1/objects/"
 )
 
-// Platform stands in for the object API. Use NewPlatform to make one.
+// Platform is a stand-in of the platform's object API that keeps the objects in memory. Use
+// NewPlatform to make one.
 type Platform struct {
 	faultSwitch
 	server *httpserver.Server
 	calls  atomic.Int64
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// revision counts the writes.
 	revision uint64
-	objects  map[string]port.Object
-	changed  chan struct{}
-	closed   chan struct{}
-	writes   meter
-	reads    meter
+	// objects holds the objects by kind/name.
+	objects map[string]port.Object
+	// changed is closed, and replaced, with each write.
+	changed chan struct{}
+	// closed is closed by Stop.
+	closed chan struct{}
+	writes meter
+	reads  meter
 }
 
-// meter refuses calls beyond a rate.
+// meter is a token bucket that limits the rate of calls and allows bursts of one second's calls.
 type meter struct {
+	// rate is the number of calls per second.
 	rate   float64
 	tokens float64
+	// filled is the time when tokens was last updated.
 	filled time.Time
 }
 
+// allow takes a token and returns true, or returns false if there is none.
 func (m *meter) allow(now time.Time) bool {
 	m.tokens = min(m.tokens+m.rate*now.Sub(m.filled).Seconds(), m.rate)
 	m.filled = now
@@ -61,7 +69,7 @@
 	return true
 }
 
-// NewPlatform serves an empty object API on address.
+// NewPlatform starts a platform without objects that listens on address.
 func NewPlatform(address string) (*Platform, error) {
 	p := &Platform{
 		objects: map[string]port.Object{},
@@ -75,19 +83,19 @@
 	return p, err
 }
 
-// Address returns the address that it listens on.
+// Address returns the address that the platform listens on.
 func (p *Platform) Address() string { return p.server.Address() }
 
-// Stop ends it.
+// Stop stops the platform and ends all calls that wait for changes.
 func (p *Platform) Stop() {
 	close(p.closed)
 	p.server.Stop()
 }
 
-// Calls returns the number of calls answered since the start.
+// Calls returns the number of calls received since the start, without those that set faults.
 func (p *Platform) Calls() int64 { return p.calls.Load() }
 
-// ServeHTTP answers a call.
+// ServeHTTP implements http.Handler.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/faults" {
 		p.serve(w, r)
@@ -109,6 +117,8 @@
 	}
 }
 
+// serveChanges returns the objects changed after a revision. If there are none, it waits for a
+// change for up to the requested time in milliseconds.
 func (p *Platform) serveChanges(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	if err != nil {
@@ -142,12 +152,15 @@
 	}
 }
 
+// allow reports whether one more call is within the rate of m.
 func (p *Platform) allow(m *meter) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return m.allow(clock.Now())
 }
 
+// since returns the objects changed after a revision, and a channel that is closed at the next
+// change.
 func (p *Platform) since(revision uint64) (port.Changes, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,8 +215,8 @@
 	writeJSON(w, http.StatusOK, stored)
 }
 
-// Put writes an object if its stored version is still o.Version; otherwise
-// it returns the stored one and port.ErrConflict.
+// Put writes an object and returns it with its new version if the version stored is o.Version.
+// Otherwise it returns the stored object and port.ErrConflict.
 func (p *Platform) Put(o port.Object) (port.Object, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,7 +233,7 @@
 	return o, nil
 }
 
-// Seed writes an object whatever its stored version is; spec becomes JSON.
+// Seed writes an object over any stored version, with spec encoded as JSON.
 func (p *Platform) Seed(kind, name string, spec any) error {
 	body, err := json.Marshal(spec)
 	if err != nil {
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -8,15 +8,15 @@
 	"github.com/stepcroft/stepcroft/internal/httpserver"
 )
 
-// Service stands in for a plain service: it answers each call with the body
-// it was sent. Use NewService to make one.
+// Service is a stand-in of a plain service that echoes the body of each request. Use NewService to
+// make one.
 type Service struct {
 	faultSwitch
 	observer Observer
 	server   *httpserver.Server
 }
 
-// NewService serves a plain service on address; observer may be nil.
+// NewService starts a service that listens on address; observer may be nil.
 func NewService(address string, observer Observer) (*Service, error) {
 	s := &Service{observer: observer}
 	var err error
@@ -24,13 +24,13 @@
 	return s, err
 }
 
-// Address returns the address that it listens on.
+// Address returns the address that the service listens on.
 func (s *Service) Address() string { return s.server.Address() }
 
-// Stop ends it.
+// Stop stops the service.
 func (s *Service) Stop() { s.server.Stop() }
 
-// ServeHTTP answers a call.
+// ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/faults" {
 		s.serve(w, r)
