--- a/internal/adapter/peer/peer.go
+++ b/internal/adapter/peer/peer.go
@@ -67,13 +67,16 @@
 	server   *grpc.Server
 	listener net.Listener
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// links holds the open links by the peer address of the other router.
 	links map[string]*link
 
+	// sent and dropped count messages, bytes what was written to connections.
 	sent    atomic.Int64
 	bytes   atomic.Int64
 	dropped atomic.Int64
-	cutOff  atomic.Pointer[map[string]bool]
+	// blocked holds the peer addresses set by BlockPeers.
+	blocked atomic.Pointer[map[string]bool]
 }
 
 // link is the stream to one other router, with the queue of messages to send on it.
@@ -222,7 +225,7 @@
 			return errors.Wrapf(stream.Context().Err(), "stream to %s", l.address)
 		case e := <-l.queue:
 			active = true
-			if t.isCutOff(l.address) {
+			if t.isBlocked(l.address) {
 				t.dropped.Add(1)
 				continue
 			}
@@ -245,6 +248,7 @@
 	return true
 }
 
+// dial connects to a peer address, and counts the bytes written to the connection.
 func (t *Transport) dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, Control: sockopt.UserTimeout(unackedTimeout)}
 	conn, err := d.DialContext(ctx, "tcp", address)
@@ -301,7 +305,7 @@
 			return err
 		}
 		m := decode(e, from)
-		if m == nil || t.isCutOff(from.Peer) {
+		if m == nil || t.isBlocked(from.Peer) {
 			t.dropped.Add(1)
 			continue
 		}
@@ -312,14 +316,14 @@
 	}
 }
 
-// Cut makes the transport drop all messages to and from the given peer addresses, to simulate a
-// network partition in tests. Each call replaces the previous addresses; nil ends the
-// partition.
-func (t *Transport) Cut(addresses map[string]bool) { t.cutOff.Store(&addresses) }
+// BlockPeers makes the transport drop all messages to and from the given peer addresses, to
+// simulate a network partition in tests. Each call replaces the previous addresses; nil ends
+// the partition.
+func (t *Transport) BlockPeers(addresses map[string]bool) { t.blocked.Store(&addresses) }
 
-func (t *Transport) isCutOff(address string) bool {
-	cutOff := t.cutOff.Load()
-	return cutOff != nil && (*cutOff)[address]
+func (t *Transport) isBlocked(address string) bool {
+	blocked := t.blocked.Load()
+	return blocked != nil && (*blocked)[address]
 }
 
 // Stats are counters since the start. Messages counts those sent; Dropped includes received
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -231,7 +231,7 @@
 
 // BlockPeers drops all messages from and to the given peer addresses, as a network partition
 // would; nil ends it. It is for experiments.
-func (r *Router) BlockPeers(addresses map[string]bool) { r.peers.Cut(addresses) }
+func (r *Router) BlockPeers(addresses map[string]bool) { r.peers.BlockPeers(addresses) }
 
 // Status returns a summary of the control state.
 func (r *Router) Status() control.Status {
