--- a/internal/adapter/engine/engine.go
+++ b/internal/adapter/engine/engine.go
@@ -39,6 +39,7 @@
 )
 
 const (
+	// dialTimeout bounds the time to connect to a target.
 	dialTimeout = time.Second
 	// streamBufferSize is the size of a stream's read buffer in bytes. An event that does not
 	// fit into it breaks the stream.
@@ -189,6 +190,7 @@
 	cancel context.CancelFunc
 }
 
+// Next returns the data of the next event that has any.
 func (s *stream) Next() ([]byte, error) {
 	for {
 		line, err := s.reader.ReadSlice('\n')
@@ -207,11 +209,13 @@
 	}
 }
 
+// HasBuffered reports whether a complete event is in the read buffer.
 func (s *stream) HasBuffered() bool {
 	buffered, err := s.reader.Peek(s.reader.Buffered())
 	return err == nil && bytes.Contains(buffered, eventEnd)
 }
 
+// Close cancels the request and closes its connection.
 func (s *stream) Close() {
 	s.cancel()
 	s.body.Close()
--- a/internal/adapter/engine/engine_test.go
+++ b/internal/adapter/engine/engine_test.go
@@ -86,7 +86,7 @@
 		Expect(errors.Is(err, port.ErrBroken)).To(BeTrue())
 	})
 
-	It("continues a response that broke off on another engine with its KV cache", func() {
+	It("resumes a broken-off response on another engine after moving its KV cache there", func() {
 		a, b := startEngine(standin.EngineOptions{}), startEngine(standin.EngineOptions{})
 		a.SetFaults(standin.Faults{BreakAfter: 2})
 		prompt := standin.Prompt("t", 1, 5)
--- a/internal/adapter/httpcaller/chat.go
+++ b/internal/adapter/httpcaller/chat.go
@@ -196,7 +196,7 @@
 }
 
 // resumable reports whether the engine may be able to continue the answer that broke off. That
-// is not a second run, so it is allowed for requests that are not repeatable, too.
+// is not a second run, so it is also allowed for requests that are not repeatable.
 func (x *exchange) resumable(err error) bool {
 	return errors.Is(err, port.ErrBroken) && x.events > 0 && x.job.ctx.Err() == nil
 }
--- a/internal/adapter/peer/convert.go
+++ b/internal/adapter/peer/convert.go
@@ -140,7 +140,8 @@
 	return nil
 }
 
-// decodeReport returns nil if the parallel lists of a pool's organisations differ in length.
+// decodeReport decodes a report. It returns nil if the parallel lists of a pool's organisations
+// differ in length.
 func decodeReport(r *peerpb.Report, incarnation uint64) message.Message {
 	out := message.Report{
 		Incarnation: incarnation, Sequence: r.GetSequence(), Leaving: r.GetLeaving(), Revision: r.GetRevision(),
--- a/internal/adapter/peer/status.go
+++ b/internal/adapter/peer/status.go
@@ -9,8 +9,8 @@
 
 func encodeStatus(m message.Status) *peerpb.Status {
 	out := &peerpb.Status{Config: m.Config, ConfigVersion: m.Version, Targets: m.Targets, Zones: m.Zones, Loads: encodeLoads(m.Loads)}
-	for _, k := range m.SharedParts {
-		out.Kept = append(out.Kept, &peerpb.TargetParts{Target: k.Target, Parts: k.Parts})
+	for _, parts := range m.SharedParts {
+		out.Kept = append(out.Kept, &peerpb.TargetParts{Target: parts.Target, Parts: parts.Parts})
 	}
 	for _, u := range m.Usage {
 		out.Usage = append(out.Usage, &peerpb.OrganisationUsage{
@@ -25,8 +25,8 @@
 		Revisions: message.Revisions{Config: m.GetConfig(), Version: m.GetConfigVersion(), Targets: m.GetTargets(), Zones: m.GetZones()},
 		Loads:     decodeLoads(m.GetLoads()),
 	}
-	for _, k := range m.GetKept() {
-		out.SharedParts = append(out.SharedParts, message.TargetParts{Target: k.GetTarget(), Parts: k.GetParts()})
+	for _, parts := range m.GetKept() {
+		out.SharedParts = append(out.SharedParts, message.TargetParts{Target: parts.GetTarget(), Parts: parts.GetParts()})
 	}
 	for _, u := range m.GetUsage() {
 		out.Usage = append(out.Usage, message.OrganisationUsage{
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -170,6 +170,8 @@
 	return next
 }
 
+// clone returns a copy of s whose maps can be modified without changing s. The indexes
+// organisationByKeyHash and boxesByRole are shared and must be replaced, not modified.
 func (s Snapshot) clone() Snapshot {
 	s.organisations = cloneMap(s.organisations)
 	s.templates = cloneMap(s.templates)
@@ -236,6 +238,7 @@
 	return nil
 }
 
+// cloneMap returns a copy of m that is never nil.
 func cloneMap[K comparable, V any](m map[K]V) map[K]V {
 	if m == nil {
 		return map[K]V{}
@@ -243,6 +246,8 @@
 	return maps.Clone(m)
 }
 
+// indexKeys maps the hash of each API key to the organisation's name. If several organisations
+// have the same key, the last one by name gets it.
 func indexKeys(organisations map[string]Organisation) map[string]string {
 	keys := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(organisations)) {
@@ -269,6 +274,7 @@
 	return o, true
 }
 
+// firstNonZero returns the first value that is not the zero value.
 func firstNonZero[T comparable](values ...T) T {
 	var zero T
 	for _, v := range values {
--- a/internal/configsync/configsync.go
+++ b/internal/configsync/configsync.go
@@ -32,13 +32,13 @@
 	watchersPerZone = 2
 	// watchKey is the rendezvous hashing key by which a zone's watchers are selected.
 	watchKey = "configuration watch"
-	// watchWait is how long the platform holds one watch request open until a change.
+	// watchWait is how long the platform keeps one watch request waiting for a change.
 	watchWait = 20 * time.Second
 	// minRetryDelay and maxRetryDelay bound the backoff after failed calls to the platform.
 	minRetryDelay = 200 * time.Millisecond
 	maxRetryDelay = 10 * time.Second
-	// catchUpDelay is how long a router that learned of a newer revision waits for it to arrive
-	// before it requests it from a peer, and the minimum interval between two such requests.
+	// catchUpDelay is how long a router waits for a newer revision to arrive before it requests
+	// the missing objects from a peer, and the minimum interval between two such requests.
 	catchUpDelay = time.Second
 	// roleCheckInterval is how often a router decides whether it is a watcher.
 	roleCheckInterval = 500 * time.Millisecond
@@ -131,8 +131,8 @@
 	}
 }
 
-// updateRole decides whether this router watches the platform. It also does while it has no
-// configuration yet and while it knows no routers in its zone.
+// updateRole decides whether this router watches the platform: if it is one of its zone's
+// watchers, has no configuration yet, or knows no live router in its zone.
 func (s *Syncer) updateRole(time.Time) {
 	watchers := member.TopInZone(watchersPerZone, watchKey, s.options.Self.Zone, s.options.Live())
 	s.watching.Store(!s.applied || len(watchers) == 0 || containsRouter(watchers, s.options.Self.ID))
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -24,7 +24,7 @@
 	// have taken effect.
 	ErrUnavailable = errors.New("platform does not answer")
 	// ErrFenced means that an engine rejected an order because it has seen a higher epoch.
-	ErrFenced = errors.New("order is of an old epoch")
+	ErrFenced = errors.New("order has an outdated epoch")
 	// ErrNotSent means that no byte of the request can have reached the target.
 	ErrNotSent = errors.New("target was not reached")
 	// ErrRefused means that the target reported that it did not run the request.
@@ -69,7 +69,8 @@
 
 // Completion is a chat completion request to an engine.
 type Completion struct {
-	ID       string
+	ID string
+	// Priority orders requests in the engine's queue, 0 to 9; 9 runs first.
 	Priority int
 	Body     []byte
 	// ResumeFrom is the number of events already received of a response that ended early. If it
@@ -88,7 +89,8 @@
 	Close()
 }
 
-// EngineLoad is the load that an engine reports about itself. It lags behind the actual load.
+// EngineLoad is the load that an engine reports about itself, in requests. It lags behind the
+// actual load.
 type EngineLoad struct {
 	Running int  `json:"running"`
 	Queued  int  `json:"queued"`
@@ -124,7 +126,9 @@
 
 // Engine sends requests to model engines.
 type Engine interface {
+	// Complete sends a completion request and returns the response as a stream.
 	Complete(ctx context.Context, address string, c Completion) (Stream, error)
+	// Load returns the engine's own report of its load.
 	Load(ctx context.Context, address string) (EngineLoad, error)
 }
 
@@ -159,6 +163,7 @@
 
 // Service sends requests to plain services.
 type Service interface {
+	// Call sends a request and returns the response, whose body may still be arriving.
 	Call(ctx context.Context, address string, c Call) (Response, error)
 }
 
