--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -228,7 +228,7 @@
 func (g *Gateway) say() {
 	g.roster.UpdateSelf(message.RouterRecord{
 		Ready: g.server.Ready(), Leaving: g.leaving, Serving: g.reporter.serving,
-		StoreTrouble: !g.trouble.IsZero(), Capacity: g.Capacity,
+		StoreFailing: !g.trouble.IsZero(), Capacity: g.Capacity,
 	})
 	g.roster.SetRevisions(g.catalog.Newest(), g.isolation.state.Digest())
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -102,7 +102,7 @@
 		for r := range g.running(now) {
 			running++
 			live.Add(r.ID, r.Zone)
-			if !r.StoreTrouble {
+			if !r.StoreFailing {
 				reaching.Add(r.ID, r.Zone)
 			}
 		}
@@ -125,7 +125,7 @@
 	watch := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
 		for r := range g.running(now) {
-			watch = watch || r.ID != g.known.ID && !r.StoreTrouble
+			watch = watch || r.ID != g.known.ID && !r.StoreFailing
 		}
 	})
 	return watch
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -271,8 +271,8 @@
 	// Ready is set while the router can serve callers, Leaving once it has begun a planned
 	// shutdown, Serving while it has requests or had some recently.
 	Ready, Leaving, Serving bool
-	// StoreTrouble is set while the router's calls to the store fail.
-	StoreTrouble bool
+	// StoreFailing is set while the router's calls to the store fail.
+	StoreFailing bool
 	// Capacity is the number of processor cores that the router may use.
 	Capacity float64
 }
@@ -296,9 +296,9 @@
 	Kind PingKind
 	// Revisions are the sender's.
 	Revisions
-	// Digest is a hash of the sender's records of routers that are not gone. It does not
+	// RosterDigest is a hash of the sender's records of routers that are not gone. It does not
 	// depend on their order.
-	Digest uint64
+	RosterDigest uint64
 	// WantAll asks the receiver for all its records of routers.
 	WantAll bool
 	Records []RouterRecord
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -33,7 +33,8 @@
 	GapBetween ledger.Gap `json:"gap_between"`
 	// GapSeries is the largest fairness gap in each half second.
 	GapSeries []float64 `json:"gap_series"`
-	// GapRatio is Gap divided by the gap under the Omniscient policy, 0 if that was not run.
+	// GapRatio is Gap divided by the gap under the Omniscient policy, 0 if that policy was
+	// not run or left no gap.
 	GapRatio float64 `json:"gap_ratio,omitempty"`
 	// Utilisation is the fraction of all slots' time that was busy.
 	Utilisation float64 `json:"utilisation"`
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -163,12 +163,12 @@
 func (r *Roster) Self() message.RouterRecord { return r.self }
 
 // UpdateSelf sets the conditions in the local router's record (Ready, Leaving, Serving,
-// StoreTrouble and Capacity) to those of a record, whose other fields are ignored. It reports
+// StoreFailing and Capacity) to those of a record, whose other fields are ignored. It reports
 // whether any of them changed, and queues the new record for the other routers.
 func (r *Roster) UpdateSelf(record message.RouterRecord) bool {
 	next := r.self
 	next.Ready, next.Leaving, next.Serving = record.Ready, record.Leaving, record.Serving
-	next.StoreTrouble, next.Capacity = record.StoreTrouble, record.Capacity
+	next.StoreFailing, next.Capacity = record.StoreFailing, record.Capacity
 	if next == r.self {
 		return false
 	}
@@ -253,7 +253,7 @@
 	if m.Kind == message.PingRequest {
 		out = append(out, r.answer(e, m)...)
 	}
-	if r.startSync(now, e, m.Digest, firstContact) {
+	if r.startSync(now, e, m.RosterDigest, firstContact) {
 		out = append(out, Outgoing{Peer: e.Peer, Ping: r.ping(message.PingRequest, true)})
 	}
 	return out
@@ -417,7 +417,7 @@
 // ping returns a message without records.
 func (r *Roster) ping(kind message.PingKind, all bool) message.Ping {
 	return message.Ping{
-		From: r.self, Kind: kind, Revisions: r.revisions, Digest: r.digest, WantAll: all,
+		From: r.self, Kind: kind, Revisions: r.revisions, RosterDigest: r.digest, WantAll: all,
 		QuarantineDigest: r.quarantineDigest,
 	}
 }
