--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -247,7 +247,7 @@
 	r.metrics.SetFunc("config", func() any { return r.syncer.Stats() })
 	r.metrics.SetFunc("violations", func() any { return json.RawMessage(invariant.Violations().String()) })
 	r.metrics.SetFunc("process", func() any { return metrics.ReadProcess() })
-	r.metrics.SetFunc("callers", func() any { return callerStats{r.handler.Working()} })
+	r.metrics.SetFunc("callers", func() any { return callerStats{r.handler.OpenRequests()} })
 }
 
 // callerStats is the published state of callers' requests.
@@ -281,7 +281,7 @@
 func (r *Router) idle() bool {
 	idle := false
 	r.loop.call(func(s *control.State, _ time.Time) { idle = s.Idle() })
-	return idle && r.handler.Working() == 0
+	return idle && r.handler.OpenRequests() == 0
 }
 
 // Stop stops the router at once.
