--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -90,8 +90,8 @@
 	m.Set("peer_messages", func() any { return g.peers.Stats() })
 	m.Set("peer_datagrams", func() any { return g.datagrams.Stats() })
 	m.Set("processor_part", func() any { return g.loop.CPUUtilisation() })
-	m.Set("turned_away", func() any { return g.server.TurnedAway() })
-	m.Set("open_requests", func() any { return g.server.Open() })
+	m.Set("turned_away", func() any { return g.server.RejectedConnections() })
+	m.Set("open_requests", func() any { return g.server.OpenRequests() })
 }
 
 // CountRetry counts a retry by its reason.
@@ -169,10 +169,10 @@
 
 // suspect counts a change of what is known of a request that ended targets.
 func (m *Metrics) suspect(r quarantine.Record) {
-	switch n := r.Standing(); {
+	switch n := r.Uncleared(); {
 	case n == 0:
 		m.suspects.Add("cleared", 1)
-	case quarantine.Holds(n):
+	case quarantine.HeldBack(n):
 		m.suspects.Add("held", 1)
 	case n == 1:
 		m.suspects.Add("bystander", 1)
@@ -201,8 +201,8 @@
 	return observer{log: g.Log, full: g.LogFull, metrics: g.Metrics, tally: &g.tally}
 }
 
-// Ended implements ingress.Observer.
-func (o observer) Ended(r forward.Request, v forward.Result, took time.Duration) {
+// RequestEnded implements ingress.Observer.
+func (o observer) RequestEnded(r forward.Request, v forward.Result, took time.Duration) {
 	o.metrics.ended(v, took)
 	hidden := o.full != nil && o.full()
 	o.tally.add(r, v, hidden)
