--- a/internal/adapter/httpcaller/httpcaller.go
+++ b/internal/adapter/httpcaller/httpcaller.go
@@ -159,6 +159,7 @@
 	})
 }
 
+// writeJSON answers with v as JSON.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
--- a/internal/adapter/peer/ping.go
+++ b/internal/adapter/peer/ping.go
@@ -28,6 +28,7 @@
 	return out
 }
 
+// encodeRecord encodes a router's record. The protobuf field Belief holds its state.
 func encodeRecord(r message.RouterRecord) *peerpb.RouterRecord {
 	return &peerpb.RouterRecord{
 		Id: string(r.ID), Zone: r.Zone, Address: r.Address, Peer: r.Peer,
--- a/internal/adapter/peer/quarantine.go
+++ b/internal/adapter/peer/quarantine.go
@@ -10,6 +10,8 @@
 	"github.com/stepcroft/stepcroft/internal/quarantine"
 )
 
+// encodeQuarantine encodes a message. A suspect's targets are in Cleared or in Crashed, and those
+// of trials also in Trials.
 func encodeQuarantine(m message.Quarantine) *peerpb.Quarantine {
 	out := &peerpb.Quarantine{WantAll: m.WantAll}
 	for _, r := range m.Records {
--- a/internal/adapter/peer/status.go
+++ b/internal/adapter/peer/status.go
@@ -7,6 +7,8 @@
 	"github.com/stepcroft/stepcroft/internal/message"
 )
 
+// encodeStatus encodes a status. Some protobuf fields have other names than those of the
+// message: Kept is SharedParts, Asked is Demand, Begun is Started, Unread is PendingTokens.
 func encodeStatus(m message.Status) *peerpb.Status {
 	out := &peerpb.Status{Config: m.Config, ConfigVersion: m.Version, Targets: m.Targets, Zones: m.Zones, Loads: encodeLoads(m.Loads)}
 	for _, parts := range m.SharedParts {
@@ -56,6 +58,7 @@
 	return out
 }
 
+// encodeCopy encodes a copy. The protobuf field Gone holds the removed objects.
 func encodeCopy(m message.Copy) *peerpb.Copy {
 	out := &peerpb.Copy{
 		ConfigRevision: m.ConfigRevision, Config: m.Config, TargetsRevision: m.Targets.Revision,
--- a/internal/adapter/platform/platform.go
+++ b/internal/adapter/platform/platform.go
@@ -94,6 +94,7 @@
 	return current, errors.Wrapf(err, "write %s %q over version %d, stored is %d", o.Kind, o.Name, o.Version, current.Version)
 }
 
+// put sends one write request.
 func (c *Client) put(ctx context.Context, o port.Object, body []byte) (port.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -106,6 +107,8 @@
 	return "/v1/objects/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
 
+// call sends a request and decodes the JSON response into out. Failures to get a response, and
+// unexpected statuses, wrap ErrUnavailable.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
 	c.calls.Add(1)
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
