--- a/internal/gateway/advice.go
+++ b/internal/gateway/advice.go
@@ -5,12 +5,12 @@
 	"github.com/stepcroft/stepcroft/internal/forward"
 )
 
-// refusing counts, among what targets said of themselves, how often one was left alone for a
-// moment because it turned one request after another away.
+// refusing is the label, in the metric target_advice, of the times that a target was skipped for
+// a moment because it had rejected several requests in a row.
 const refusing = "refusing"
 
-// logAdvice logs and counts what targets said of themselves without asking for a rest, and what
-// was sent in spite of what they said.
+// logAdvice logs and counts the backoffs of targets that rejected requests without asking for a
+// backoff, and the requests that were sent to targets that were leaving or backing off.
 func (g *Gateway) logAdvice(s *balance.State) {
 	if paused := s.Backoffs(); paused != g.paused {
 		g.Log.Info("targets left alone that turn requests away", "count", paused-g.paused)
--- a/internal/gateway/awake.go
+++ b/internal/gateway/awake.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// confirmFrom is the suspension from which what the store held before is confirmed
-	// before requests are served by it: a second is half of the shortest time in which
-	// configurations and keys are to be in force everywhere.
+	// confirmFrom is the shortest suspension of the box after which the router confirms its
+	// copy of the store before it serves requests: half of the shortest time, two seconds, in
+	// which configurations and keys have to be in force everywhere.
 	confirmFrom = time.Second
-	// confirmMost is for how long that is waited for: routers answer a ping within 0.3 s,
-	// and who hears nobody serves by what it has, as a router that is cut off does.
+	// confirmMost is the timeout for that confirmation. Routers answer a ping within 0.3 s; a
+	// router that gets no answer serves from the copy it has, as one that is partitioned does.
 	confirmMost = time.Second
 )
 
-// awake treats the router as one that was cut off: all that it believes is older by what the
-// box was suspended, connections may be gone, and keys may be taken away.
+// awake treats this router as one that was partitioned for the time that the box was suspended:
+// its view of the fleet is older by that time, connections may be broken, and API keys may have
+// been revoked.
 func (g *Gateway) awake(_ *balance.State, now time.Time, missed time.Duration) {
 	g.Log.Info("box was suspended", "missed_ms", missed.Milliseconds(), "open", g.server.Open())
 	g.Metrics.suspended(missed)
@@ -33,8 +34,7 @@
 	g.spread(now)
 }
 
-// confirm notes that another router answered and has nothing newer of the store, or that
-// this has been waited for long enough.
+// confirm ends the wait for a confirmation, if there is one, and serves requests again.
 func (g *Gateway) confirm(now time.Time, by string) {
 	if g.unconfirmed.IsZero() {
 		return
@@ -44,14 +44,15 @@
 	g.server.Pause(false)
 }
 
-// confirmedBy takes an answer to a ping for a confirmation if it tells of nothing newer.
+// confirmedBy takes a reply to a ping as confirmation unless its sender has newer revisions of the
+// store.
 func (g *Gateway) confirmedBy(now time.Time, m message.Ping) {
 	if m.Kind == message.PingReply && !m.NewerThan(g.catalog.Complete()) {
 		g.confirm(now, string(m.From.ID))
 	}
 }
 
-// stopWaiting ends waiting for a confirmation after a time.
+// stopWaiting ends the wait for a confirmation after confirmMost.
 func (g *Gateway) stopWaiting(now time.Time) {
 	if now.Sub(g.unconfirmed) >= confirmMost {
 		g.confirm(now, "nobody")
--- a/internal/gateway/awake_internal_test.go
+++ b/internal/gateway/awake_internal_test.go
@@ -34,10 +34,10 @@
 	return t, json.Unmarshal(value, &t)
 }
 
-// started counts the routers of these tests.
+// started counts the routers that these tests have started.
 var started atomic.Uint64
 
-// newOwn returns a router of the package's own tests, with a configuration.
+// newOwn returns a configured router for the internal tests.
 func newOwn(t *testing.T, seeds ...string) *Gateway {
 	t.Helper()
 	n := started.Add(1)
@@ -64,24 +64,25 @@
 	}
 }
 
-// sleep suspends the router's box.
+// sleep simulates that the router's box was suspended.
 func sleep(g *Gateway, missed time.Duration) {
 	g.loop.PostAndWait(context.Background(), func(s *balance.State, now time.Time) { g.awake(s, now, missed) })
 }
 
-// A key was taken away while a box was suspended; the router took it for valid afterwards,
-// since by its clock no time had passed.
+// TestAwakeConfirmsFirst guards against serving from an outdated copy of the store: an API key was
+// revoked while a box was suspended, and the router still accepted it afterwards, since by its
+// clock no time had passed.
 func TestAwakeConfirmsFirst(t *testing.T) {
 	cases := map[string]struct {
 		missed time.Duration
-		// answer is what another router answers, nil for none.
+		// answer is another router's reply to a ping, nil for none.
 		answer *message.Ping
 		paused bool
 	}{
-		"a short sleep":                  {missed: 300 * time.Millisecond},
-		"an answer with nothing newer":   {missed: 5 * time.Second, paused: true, answer: &message.Ping{Kind: message.PingReply, Revisions: message.Revisions{Config: 7}}},
-		"nobody answers":                 {missed: 5 * time.Second, paused: true},
-		"an answer with something newer": {missed: 5 * time.Second, paused: true, answer: &message.Ping{Kind: message.PingReply, Revisions: message.Revisions{Config: 8}}},
+		"a short suspension":           {missed: 300 * time.Millisecond},
+		"a reply with nothing newer":   {missed: 5 * time.Second, paused: true, answer: &message.Ping{Kind: message.PingReply, Revisions: message.Revisions{Config: 7}}},
+		"no reply":                     {missed: 5 * time.Second, paused: true},
+		"a reply with newer revisions": {missed: 5 * time.Second, paused: true, answer: &message.Ping{Kind: message.PingReply, Revisions: message.Revisions{Config: 8}}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -89,7 +90,7 @@
 			g := newOwn(t)
 			sleep(g, c.missed)
 			if g.Ready() == c.paused {
-				t.Fatalf("ready %v just after it", g.Ready())
+				t.Fatalf("ready %v just after the suspension", g.Ready())
 			}
 			if c.paused {
 				recorder := httptest.NewRecorder()
@@ -102,7 +103,7 @@
 				c.answer.From = message.RouterRecord{ID: "b", Zone: "z", Peer: "127.0.0.1:1", Incarnation: 1, Version: 1}
 				g.loop.PostAndWait(context.Background(), func(_ *balance.State, now time.Time) { g.confirmedBy(now, *c.answer) })
 				if confirmed := c.answer.Config <= 7; g.Ready() != confirmed {
-					t.Errorf("ready %v after the answer, want %v", g.Ready(), confirmed)
+					t.Errorf("ready %v after the reply, want %v", g.Ready(), confirmed)
 				}
 			}
 			waitReady(t, g, true)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -16,11 +16,10 @@
 	"github.com/stepcroft/stepcroft/internal/view"
 )
 
-// Everything in this file but the posting methods runs in the control
-// goroutine.
+// All functions in this file run in the control goroutine, except for those that post to it
+// (loop.Post, loop.PostAndWait).
 
-// receive takes in a message of another router; it is called by the peer
-// transports.
+// receive handles a message from another router. The peer transports call it.
 func (g *Gateway) receive(from member.Member, m message.Message) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
 		switch m := m.(type) {
@@ -38,7 +37,8 @@
 			g.heardLoads(s, now, from.ID, m)
 		case message.NeedCopy:
 			if m.Config == 0 {
-				// Who has just started must know them before its first request.
+				// The sender has no configuration, so it has just started: it must know
+				// the suspected requests before it serves its first one.
 				g.tellSuspects(from, g.isolation.exchange.All(now))
 			}
 			g.tell(from, g.catalog.Copy(now, m))
@@ -51,8 +51,8 @@
 	})
 }
 
-// heardStatus takes in another router's report, unless it is in the sum of its
-// zone.
+// heardStatus applies another router's report, unless the router is in another zone whose sum
+// already covers it.
 func (g *Gateway) heardStatus(s *balance.State, now time.Time, from member.Member, m message.Status) {
 	g.catchUp(now, from, m.Revisions)
 	if from.Zone == g.known.Zone {
@@ -67,7 +67,7 @@
 	s.ApplyReport(now, string(from.ID), reportOf(m))
 }
 
-// heardLoads takes in what another router tells between reports.
+// heardLoads applies the changes of load that another router sends between reports.
 func (g *Gateway) heardLoads(s *balance.State, now time.Time, from message.RouterID, m message.Loads) {
 	zone := g.roster.Zone(from)
 	if zone != g.known.Zone && now.Sub(g.sums[zone]) < sumAge {
@@ -102,7 +102,7 @@
 	return r
 }
 
-// catchUp asks a router for what it has newer of the store.
+// catchUp requests a copy of the store's contents from a router that has newer revisions.
 func (g *Gateway) catchUp(now time.Time, from member.Member, has message.Revisions) {
 	known := g.catalog.Complete()
 	if has.NewerThan(known) && now.Sub(g.asked) >= copyPause {
@@ -124,11 +124,11 @@
 	g.confirm(now, string(from.ID))
 }
 
-// fromStore is told in the log as the source of what came from the store
-// itself.
+// fromStore is the source, in log lines, of what the store itself delivered. Otherwise it is the
+// id of the router that sent it.
 const fromStore = "store"
 
-// fromTime is told where the time is over for which something was held.
+// fromTime is the source, in log lines, of changes that take effect because a delay has passed.
 const fromTime = "time"
 
 func (g *Gateway) setConfig(s *balance.State, at int64, value []byte, from string) {
@@ -150,7 +150,8 @@
 	g.spread(clock.Now())
 }
 
-// logNotTaken logs a configuration that is another than the one in force and not newer.
+// logNotTaken logs a configuration that was not applied because it differs from the one in
+// force without being newer.
 func (g *Gateway) logNotTaken(at int64, value []byte, from string) {
 	if g.catalog.ConfigDiffers(value) {
 		g.Log.Info("configuration not taken", "era", revision.Era(at), "revision", revision.Store(at),
@@ -158,12 +159,12 @@
 	}
 }
 
-// SetConfig takes over a configuration from the store.
+// SetConfig applies a configuration from the store if it is newer than the one in force.
 func (g *Gateway) SetConfig(at int64, value []byte) {
 	g.loop.Post(func(s *balance.State, _ time.Time) { g.setConfig(s, at, value, fromStore) })
 }
 
-// SetTargets takes over the store's whole list of targets.
+// SetTargets replaces the targets with the store's complete list.
 func (g *Gateway) SetTargets(at int64, list []message.StoredObject) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
 		changed := g.catalog.SetTargets(now, at, list)
@@ -171,7 +172,7 @@
 	})
 }
 
-// ChangeTargets takes over changes to the store's list of targets.
+// ChangeTargets applies changes to the store's list of targets.
 func (g *Gateway) ChangeTargets(at int64, changes []catalog.Change) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
 		g.catalog.ApplyTargets(now, at, changes)
@@ -179,8 +180,8 @@
 	})
 }
 
-// targetsChanged puts a changed list of targets in force and passes on that there
-// is one.
+// targetsChanged applies the catalog's list of targets if it has changed, and gossips the new
+// revision.
 func (g *Gateway) targetsChanged(s *balance.State, now time.Time, changed bool, from string) {
 	g.logIgnored(from)
 	if !changed {
@@ -202,7 +203,7 @@
 	g.spread(now)
 }
 
-// logIgnored logs and counts the entries that turned out to name no target to use.
+// logIgnored logs and counts the store entries that could not be used as targets.
 func (g *Gateway) logIgnored(from string) {
 	list, by := g.catalog.Ignored()
 	for _, e := range list {
@@ -213,24 +214,25 @@
 	}
 }
 
-// SetRouters takes over the store's list of routers.
+// SetRouters replaces the store's list of routers.
 func (g *Gateway) SetRouters(list []config.Box) {
 	g.loop.Post(func(_ *balance.State, now time.Time) { g.roster.SetList(now, list) })
 }
 
 const (
-	// minNear is the least number of addresses told to a caller where there
-	// are as many: one may fail.
+	// minNear is the least number of addresses returned to a caller if there are as many
+	// routers, since one of them may fail.
 	minNear = 2
-	// smallShare is the part, in percent, of the largest capacity in a zone
-	// below which a router is told to callers only if there are too few
-	// others: a flood that a large router refuses drowns a small one.
+	// smallShare is the percentage of the largest router's capacity in a zone below which a
+	// router's address is returned only if there are too few others: a burst that a large
+	// router can reject overloads a small one.
 	smallShare = 50
 )
 
-// Addresses returns where callers in an availability zone should connect:
-// the large routers of that zone that can serve, small ones if there are too
-// few of these, or one elsewhere if there is only one.
+// Addresses returns the addresses that callers in an availability zone should connect to: the
+// large routers of that zone that are ready, small ones too if there are fewer than minNear
+// large ones, and one router of another zone if this one has a single router. If the zone has
+// none, it returns routers of other zones.
 func (g *Gateway) Addresses(ctx context.Context, zone string) []string {
 	var near, far []message.RouterRecord
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
@@ -261,8 +263,8 @@
 	return list
 }
 
-// large returns the routers with a large part of the greatest capacity among
-// them, and others as long as there are fewer than minNear.
+// large returns the routers whose capacity is at least smallShare percent of the greatest, and
+// smaller ones as long as there are fewer than minNear. It sorts the list by capacity.
 func large(list []message.RouterRecord) []message.RouterRecord {
 	slices.SortStableFunc(list, func(a, b message.RouterRecord) int { return cmp.Compare(b.Capacity, a.Capacity) })
 	for i, r := range list {
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -18,7 +18,7 @@
 )
 
 var _ = Describe("Routers", func() {
-	It("learn the configuration and the targets from one another", func() {
+	It("get the configuration and the targets from one another", func() {
 		a := newRig()
 		b := newRig(a.Known().Peer)
 		a.configure(spec(1))
@@ -27,7 +27,7 @@
 		Eventually(func() int { return b.post("/many/x").Status }).Should(Equal(http.StatusOK))
 	})
 
-	It("learn that a key is gone although the store turns them away", func() {
+	It("reject a revoked key although they cannot reach the store", func() {
 		a := newRig()
 		b := newRig(a.Known().Peer)
 		a.configure(spec(1))
@@ -40,7 +40,7 @@
 		Consistently(func() int { return b.post("/many/x").Status }, "300ms").Should(Equal(http.StatusUnauthorized))
 	})
 
-	It("tell callers the addresses of those that can serve", func() {
+	It("return the addresses of routers that are ready", func() {
 		a := newRig()
 		b := newRig(a.Known().Peer)
 		ctx := context.Background()
@@ -51,7 +51,7 @@
 		Eventually(func() []string { return a.Addresses(ctx, "z") }).Should(ConsistOf(a.Known().Address))
 	})
 
-	It("send nothing new to a target that is leaving or gone", func() {
+	It("send no new requests to a target that is leaving", func() {
 		r := newRig()
 		r.configure(spec(1))
 		address := r.serve("t", answer)
@@ -62,7 +62,7 @@
 		Eventually(func() int { return r.post("/many/x").Status }).Should(Equal(http.StatusServiceUnavailable))
 	})
 
-	It("never go back to an older configuration, nor to one that is broken", func() {
+	It("never replace the configuration by an older or invalid one", func() {
 		r := newRig()
 		r.configure(spec(1))
 		r.serve("t", answer)
@@ -78,7 +78,7 @@
 		Expect(r.post("/many/x").Status).To(Equal(http.StatusOK))
 	})
 
-	It("follow a route that moves to another service", func() {
+	It("apply a change of a route to another service", func() {
 		r := newRig()
 		r.configure(spec(1))
 		r.serve("t", answer)
@@ -89,7 +89,7 @@
 		Eventually(func() int { return r.post("/many/x").Status }).Should(Equal(http.StatusServiceUnavailable))
 	})
 
-	It("watch the store as three of them, and another for one that it turns away", func() {
+	It("watch the store as three of them, and as one more for each that cannot reach it", func() {
 		var fleet []*rig
 		var boxes []config.Box
 		for range 6 {
@@ -127,8 +127,8 @@
 		Eventually(watching).Should(HaveLen(6))
 	})
 
-	// ranking returns three routers that rank before r to watch the store, and that r
-	// knows.
+	// ranking returns three routers that rank before r for watching the store, and announces
+	// them to r.
 	ranking := func(r *rig) []*fakeRouter {
 		var fakes []*fakeRouter
 		for i := 0; len(fakes) < 3; i++ {
@@ -142,7 +142,7 @@
 		return fakes
 	}
 
-	It("ask the store where they know nothing, also if others rank before them", func() {
+	It("watch the store if they have no copy of it, even if others rank before them", func() {
 		r := newRig()
 		for _, f := range ranking(r) {
 			Eventually(func() message.RouterID { return f.heard().ID }).Should(Equal(r.Known().ID))
@@ -153,7 +153,7 @@
 		Eventually(func() bool { return r.Watches(context.Background()) }).Should(BeFalse())
 	})
 
-	It("watch the store in the place of one that is only suspected", func() {
+	It("watch the store in place of one that is suspected", func() {
 		r := newRig()
 		r.configure(spec(1))
 		r.serve("t", answer)
@@ -167,7 +167,7 @@
 		Eventually(watches).Should(BeTrue())
 	})
 
-	It("ask the store as long as nobody has told them of a target", func() {
+	It("watch the store as long as they know of no targets", func() {
 		a := newRig()
 		b := newRig(a.Known().Peer)
 		watches := func() bool { return b.Watches(context.Background()) }
@@ -178,7 +178,7 @@
 		Eventually(func() int { return b.post("/many/x").Status }).Should(Equal(http.StatusOK))
 	})
 
-	It("ask the store for nothing that others may have told them by then", func() {
+	It("wait after their start for updates from others before they watch the store", func() {
 		r := newRig()
 		Expect(r.Watches(context.Background())).To(BeFalse())
 		Eventually(func() bool { return r.Watches(context.Background()) }).Should(BeTrue())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,11 @@
-// Package gateway puts a router together for deployments whose engines batch
-// requests themselves: callers' side, forwarding, balancing, the copy of the
-// store and the exchange with the other routers.
+// Package gateway assembles a router for deployments whose engines batch requests themselves. It
+// connects the callers' HTTP server, forwarding, balancing, this router's copy of the store and
+// the exchange with the other routers.
+//
+// The store counts its lives in an era, which is raised when the store comes back from an older
+// copy; its revisions are compared together with the era. A target's entry is lapsed if its TTL
+// ran out while the store was unavailable: the target stays in use until it is known to be gone
+// or its time is over.
 package gateway
 
 import (
@@ -33,55 +38,55 @@
 )
 
 const (
-	// sweepPeriod is the time between looks for old unused connections.
+	// sweepPeriod is the interval at which old idle connections to targets are closed.
 	sweepPeriod = time.Second
-	// defaultRequests and defaultConnections bound what is taken on at a time
-	// where nothing is set.
+	// defaultRequests and defaultConnections bound the callers' concurrent requests and
+	// connections if Options.Callers does not.
 	defaultRequests    = 1000
 	defaultConnections = 4000
-	// defaultDrain is for how long a target serves on that leaves where nothing is
-	// set: the shortest of the installations known.
+	// defaultDrain is how long a leaving target continues to serve if Options.Drain is not
+	// set: the shortest such time of the known installations.
 	defaultDrain = 2 * time.Second
-	// defaultSilence is after how long the store takes out the entry of a target that writes
-	// no more where nothing is set.
+	// defaultSilence is the TTL of targets' entries in the store if Options.Silence is not
+	// set.
 	defaultSilence = 4 * time.Second
-	// copyPause is the time between requests to other routers for what they
-	// have newer.
+	// copyPause is the minimum interval between requests to other routers for newer contents
+	// of the store.
 	copyPause = 60 * time.Millisecond
 )
 
-// Options are what a gateway needs.
+// Options configures a gateway.
 type Options struct {
 	ID     string
 	Zone   string
 	Listen string
-	// PeerListen is where other routers connect.
+	// PeerListen is the address on which other routers connect.
 	PeerListen string
-	// PeerAdvertise is the address told to other routers, where it is not the
-	// one listened on; empty if it is.
+	// PeerAdvertise is the address given to other routers. If empty, it is the one that the
+	// router listens on.
 	PeerAdvertise string
 	// Seeds are other routers' PeerListen addresses; they may be stale.
 	Seeds       []string
 	Incarnation uint64
-	// Capacity is the number of processor cores that the router may use.
+	// Capacity is the number of CPU cores that the router may use.
 	Capacity float64
-	// Callers bounds what is taken on at a time; a bound of 0 means 1,000
-	// requests and 4,000 connections.
+	// Callers bounds the callers' concurrent requests and connections; 0 means 1,000 requests
+	// and 4,000 connections.
 	Callers ingress.Limits
 	Dialect forward.HeaderNames
 	Codec   catalog.Codec
 	Limits  balance.Limits
-	// Drain is for how long a target serves on that leaves; 0 means two seconds.
+	// Drain is how long a leaving target continues to serve; 0 means two seconds.
 	Drain time.Duration
-	// Silence is after how long the store takes out the entry of a target that writes no
-	// more; 0 means four seconds.
+	// Silence is the TTL after which the store removes the entry of a target that has stopped
+	// renewing it; 0 means four seconds.
 	Silence time.Duration
-	// Keeper keeps requests that are held back beyond the life of all routers; nil if
-	// nobody does.
+	// Keeper persists the requests that are held back, so that they survive a restart of all
+	// routers; nil if they are not persisted.
 	Keeper Keeper
 	Log    logr.Logger
-	// LogFull reports, and counts, that a line about a request would only be
-	// dropped; nil means never.
+	// LogFull reports whether a log line about a request would be dropped, and counts it as
+	// dropped if so; nil means never.
 	LogFull func() bool
 	Metrics *Metrics
 }
@@ -95,14 +100,15 @@
 	catalog  *catalog.Catalog
 	roster   *roster.Roster
 	reporter reporter
-	// zone adds up the reports of this zone, sums is when other zones' sums came
-	// last, and direct has the routers of other zones that told this one directly.
+	// zone adds up the reports of this zone, sums has the time of the last sum of each other
+	// zone, and direct has the zones of routers elsewhere whose direct reports are in use.
 	zone    zonesum.Sum
 	sums    map[string]time.Time
 	direct  map[message.RouterID]string
 	started time.Time
 	settle  time.Duration
-	// lot is drawn from 0 to 1, to tell routers apart that all know as little.
+	// lot is a random number from 0 to 1 that decides which routers call the store first if
+	// all have just started.
 	lot       float64
 	asked     time.Time
 	transport *httptarget.Transport
@@ -110,44 +116,44 @@
 	peers     *peer.Transport
 	datagrams *peer.Datagrams
 	leaving   bool
-	// trouble is since when calls to the store fail, zero while they work.
+	// trouble is the time since when calls to the store have failed, zero while they work.
 	trouble time.Time
-	// era is that of the store in which the requests that are held back were written last.
+	// era is the newest era of the store in which the held-back requests were written again.
 	era int64
-	// isolation is what is known of requests that end targets, view what requests are
-	// checked against.
+	// isolation holds the suspected requests; view is the snapshot of them that new requests
+	// are checked against.
 	isolation isolation
-	// unconfirmed is since when what the store holds waits to be confirmed after the box
-	// was suspended; zero while it does not.
+	// unconfirmed is the time since when the router has waited, after the box was suspended,
+	// for a confirmation that its copy of the store is current; zero if it does not wait.
 	unconfirmed time.Time
 	view        atomic.Pointer[quarantine.View]
 	drained     drainedZones
-	// cold says what may be sent to cold targets, coldNow which there are.
+	// cold limits the requests sent to cold targets, coldNow is the count that was logged
+	// last.
 	cold    *coldstart.Senders
 	coldNow coldTargets
-	// against is which requests sent in spite of what targets said are in the log.
+	// against counts the requests to targets that were leaving or backing off, as logged
+	// last.
 	against balance.SentAgainstAdvice
-	// paused is how many rests that no target asked for are in the log.
+	// paused counts the backoffs that no target asked for, as logged last.
 	paused int64
 	tally  tally
 }
 
-// listener listens for callers. Without the kernel's probes of idle
-// connections a new one costs four system calls less; what is idle is closed
-// by the server.
+// listener listens for callers. TCP keep-alive is off, which saves four system calls for each
+// connection; the server closes idle connections itself.
 var listener = net.ListenConfig{KeepAlive: -1}
 
 const (
-	// acceptWait is for how long new connections may wait in the kernel to be accepted where
-	// a router does nothing else. What comes beyond that is held up by TCP, which costs the
-	// router nothing, and the requests it reads are not ones that their callers gave up.
+	// acceptWait is how long a new connection may wait in the kernel's accept queue of a router
+	// that does nothing but accept. TCP delays connections beyond that at no cost to the
+	// router. A longer queue would make it read requests whose callers have already given up.
 	acceptWait = 100 * time.Millisecond
-	// acceptEffort is the processor time that accepting a connection and refusing its request
-	// takes.
+	// acceptEffort is the CPU time for accepting a connection and rejecting its request.
 	acceptEffort = 60 * time.Microsecond
 )
 
-// listen listens for callers.
+// listen opens the listener for callers and bounds its accept queue.
 func (o Options) listen(ctx context.Context) (net.Listener, error) {
 	l, err := listener.Listen(ctx, "tcp", o.Listen)
 	if err != nil {
@@ -158,13 +164,13 @@
 		return l, nil
 	}
 	if err := sockopt.Backlog(l.(*net.TCPListener), most); err != nil {
-		o.Log.Info("connections that wait to be accepted are not bounded", "most", most, "cause", err.Error())
+		o.Log.Info("accept queue not bounded", "most", most, "cause", err.Error())
 	}
 	return l, nil
 }
 
-// New starts a router. Its catalog is empty: it refuses callers until it gets
-// a configuration.
+// New starts a router. Its copy of the store is empty: it rejects requests until it gets a
+// configuration.
 func New(ctx context.Context, o Options) (*Gateway, error) {
 	callers, err := o.listen(ctx)
 	if err != nil {
@@ -218,15 +224,15 @@
 
 func (g *Gateway) serve(l net.Listener) {
 	if err := g.server.Serve(l); err != nil {
-		g.Log.Error(err, "callers' side ended")
+		g.Log.Error(err, "HTTP server for callers failed")
 	}
 }
 
 // Ready reports whether the router can serve callers.
 func (g *Gateway) Ready() bool { return g.server.Ready() }
 
-// Known is what the router knows of itself, for a store in which routers find
-// one another.
+// Known returns this router's member record, which is registered in stores through which routers
+// find one another.
 func (g *Gateway) Known() member.Member { return g.known }
 
 func (g *Gateway) sweep(ctx context.Context) {
@@ -243,22 +249,22 @@
 }
 
 const (
-	// anyBegin is the part of the time for a planned stop, in percent, in which
-	// every request is taken. Callers have left by then, since they keep
-	// addresses for a second and few for three; some ask for none and stay.
-	// Later, only requests are taken that end in time whatever happens.
+	// anyBegin is the percentage of a planned stop's time limit in which the router accepts
+	// every request. Most callers have moved on by then, since they cache addresses for one
+	// second and a few for three; those that never look up addresses stay. Afterwards the
+	// router accepts only requests whose deadline is before its end.
 	anyBegin = 35
-	// stopMargin is the time before its end, in percent, at which a planned
-	// stop takes nothing more.
+	// stopMargin is the percentage of the time limit at the end of a planned stop in which no
+	// request is accepted.
 	stopMargin = 7
-	// quietTime is after how long without requests a stopping router ends.
+	// quietTime is the time without requests after which a stopping router ends early.
 	quietTime = 500 * time.Millisecond
-	// quietCheck is the time between looks for that.
+	// quietCheck is the interval at which a stopping router checks for requests.
 	quietCheck = 50 * time.Millisecond
 )
 
-// Drain makes a planned stop: the router leaves the fleet, serves those who
-// have not noticed yet, and returns when that is done or limit is over.
+// Drain makes a planned stop: the router announces that it is leaving and serves callers that
+// still connect to it. Drain returns when all requests have ended or limit is over.
 func (g *Gateway) Drain(ctx context.Context, limit time.Duration) {
 	began := clock.Now()
 	g.Log.Info("planned stop begins", "open", g.server.Open(), "limit_ms", limit.Milliseconds())
@@ -279,7 +285,7 @@
 	g.Log.Info("planned stop is done", "took_ms", clock.Since(began).Milliseconds())
 }
 
-// waitQuiet waits until there have been no requests for a while, or until end.
+// waitQuiet waits until there have been no requests for quietTime, or until end.
 func (g *Gateway) waitQuiet(ctx context.Context, end time.Time) {
 	busy, last := clock.Now(), g.server.Begun()
 	for clock.Since(busy) < quietTime && clock.Now().Before(end) {
@@ -292,10 +298,10 @@
 	}
 }
 
-// Stop ends the router at once.
+// Stop ends the router at once and cuts off open requests.
 func (g *Gateway) Stop() {
 	if err := g.server.Close(); err != nil {
-		g.Log.Error(err, "callers' side not closed")
+		g.Log.Error(err, "HTTP server for callers not closed")
 	}
 	g.datagrams.Stop()
 	g.peers.Stop()
@@ -303,7 +309,7 @@
 	g.transport.Close()
 }
 
-// SetLimits takes over changed limits.
+// SetLimits applies changed limits.
 func (g *Gateway) SetLimits(l balance.Limits) {
 	g.loop.Post(func(s *balance.State, _ time.Time) { s.SetLimits(l) })
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -33,7 +33,7 @@
 	RunSpecs(t, "gateway")
 }
 
-// dialect holds header names of the tests' own.
+// dialect holds the header names that these tests use.
 var dialect = forward.HeaderNames{
 	RequestID: "X-Id", Deadline: "X-Wait-Ms", Organisation: "X-Organisation", ExpectTarget: "X-Expect",
 	NotRun: "X-Not-Run", LastEventID: "Last-Event-Id",
@@ -41,7 +41,8 @@
 	Reserved: []string{"X-Organisation", "X-Expect", "X-Fetch", "X-Set-Aside"},
 }
 
-// headerSeal stands for a header that only targets and callers know.
+// headerSeal is a header that is unknown to the router, which has to forward it from targets to
+// callers.
 const headerSeal = "X-Seal"
 
 // codec reads a routing.Spec and a balance.Target as JSON.
@@ -61,7 +62,7 @@
 	return t, errors.Wrap(err, "target")
 }
 
-// spec is a configuration with one route of each kind.
+// spec returns a configuration with one route of each kind.
 func spec(version int64) routing.Spec {
 	route := func(name string, kind routing.Kind, attempts int) routing.Route {
 		return routing.Route{
@@ -82,7 +83,7 @@
 	}
 }
 
-// rig is a router before targets that the test plays.
+// rig is a router with targets whose handlers are part of the test.
 type rig struct {
 	*gateway.Gateway
 	metrics  *gateway.Metrics
@@ -92,12 +93,12 @@
 
 var incarnation atomic.Uint64
 
-// newRig returns a router with a configuration and without targets.
+// newRig returns a router without a configuration and without targets.
 func newRig(seeds ...string) *rig {
 	return newRigWith(balance.Limits{RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second, QuotaWindow: 4 * time.Second}, seeds...)
 }
 
-// newRigWith returns a router with limits of its own.
+// newRigWith returns such a router with the given limits.
 func newRigWith(limits balance.Limits, seeds ...string) *rig {
 	r := &rig{metrics: gateway.NewMetrics()}
 	n := incarnation.Add(1)
@@ -142,18 +143,19 @@
 	t := balance.Target{ID: id, Service: "s", Address: address, Zone: "z", Slots: 4}
 	r.targets = append(r.targets, stored(r.revision, t))
 	r.SetTargets(r.revision, r.targets)
-	// Both go through the control thread in order.
+	// Addresses waits until the control goroutine has applied the targets, since it handles both
+	// calls in order.
 	r.Addresses(context.Background(), "z")
 }
 
-// reply is what a caller got.
+// reply is a response as the caller received it.
 type reply struct {
 	Status int
 	Header http.Header
 	Body   string
 	// Closing is set if the router asked to close the connection.
 	Closing bool
-	// Err is set if the answer broke off.
+	// Err is set if the request failed or the response broke off.
 	Err error
 }
 
@@ -183,15 +185,15 @@
 
 func (r *rig) post(path string) reply { return do(newRequest(r.Known().Address, path)) }
 
-// answer is a target's handler that answers whole.
+// answer is a target's handler that sends a complete response.
 func answer(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(dialect.RequestID, r.Header.Get(dialect.RequestID))
 	w.Header().Set(headerSeal, "seal")
 	fmt.Fprint(w, "answer")
 }
 
-// streamer is a target's handler that streams events first to last and breaks
-// off after them if last is not the end.
+// streamer returns a target's handler that streams the events from the first, or the one after
+// Last-Event-Id, to last. It breaks off within the next event if last is less than end.
 func streamer(end, last int, pause time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		from := 0
@@ -227,7 +229,7 @@
 	return b.String()
 }
 
-// raw adds a target that hands each connection to f.
+// raw adds a target that calls f with each connection.
 func (r *rig) raw(id string, f func(c net.Conn)) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -251,7 +253,7 @@
 	r.add(id, l.Addr().String())
 }
 
-// background runs f beside the test, which waits for it at its end.
+// background runs f in a goroutine; the test's cleanup waits for it.
 func background(f func()) {
 	var wait sync.WaitGroup
 	wait.Go(func() {
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -14,9 +14,9 @@
 	"github.com/stepcroft/stepcroft/internal/metrics"
 )
 
-// BenchmarkIdleFleet measures what a router of 300 without callers spends on knowing
-// the others and on looking whether it should watch the store: 0.20% of a core, and
-// 0.73% while each look put all of them in order.
+// BenchmarkIdleFleet measures the CPU time that each router of an idle fleet of 300 spends on
+// membership and on checking whether it should watch the store: 0.20% of a core. It was 0.73% when
+// each check sorted all routers.
 func BenchmarkIdleFleet(b *testing.B) {
 	const routers, zones, looks = 300, 5, 3
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -18,32 +18,33 @@
 )
 
 const (
-	// maxLatency bounds the histograms, in microseconds; two digits of
-	// precision keep one at some 20 KB.
+	// maxLatency is the largest value of the latency histograms, in microseconds. With two
+	// significant digits a histogram takes some 20 KB.
 	maxLatency    = int64(time.Minute / time.Microsecond)
 	latencyDigits = 2
 )
 
-// Metrics counts what a gateway does. Use NewMetrics to make one.
+// Metrics holds the counters and latency histograms of a gateway. Use NewMetrics to make one.
 type Metrics struct {
 	root     *expvar.Map
 	refusals *expvar.Map
 	failures *expvar.Map
 	retries  *expvar.Map
 	statuses *expvar.Map
-	// ignored counts entries that name no target to use, by field.
+	// ignored counts store entries that could not be used as targets, by the invalid field.
 	ignored *expvar.Map
-	// zones names the drained availability zones, cold counts the cold targets by
-	// service, and coldHeld how often one was passed over for that.
+	// zones has a 1 for each drained availability zone, cold is the number of cold targets by
+	// service, and coldHeld counts how often a target was skipped for being cold.
 	zones, cold *expvar.Map
 	coldHeld    *expvar.Int
-	// advice counts what targets said of themselves in answers, againstAdvice the requests
-	// that were sent in spite of it.
+	// advice counts what targets reported about themselves in responses (leaving, backing
+	// off), againstAdvice the requests that were sent to such a target nevertheless.
 	advice, againstAdvice *expvar.Map
-	// suspects counts changes of what is known of requests that end targets.
+	// suspects counts changes to the records of requests that are suspected of crashing
+	// targets, by their new state.
 	suspects *expvar.Map
-	// suspensions counts how often the box was suspended, suspendedFor for how long in
-	// all, in milliseconds.
+	// suspensions counts how often the box was suspended, suspendedFor is the total length of
+	// the suspensions in milliseconds.
 	suspensions, suspendedFor *expvar.Int
 
 	mu                   sync.Mutex
@@ -82,7 +83,7 @@
 	return m
 }
 
-// Set adds a value that is worked out when it is read.
+// Set adds a value that is computed by read each time the metrics are read.
 func (m *Metrics) Set(name string, read func() any) { m.root.Set(name, expvar.Func(read)) }
 
 func (m *Metrics) watch(g *Gateway) {
@@ -97,7 +98,7 @@
 // CountRetry counts a retry by its reason.
 func (m *Metrics) CountRetry(r forward.Reason) { m.retries.Add(string(r), 1) }
 
-// CountAdvice counts what a target said of itself.
+// CountAdvice counts what a target reported about itself.
 func (m *Metrics) CountAdvice(a forward.Advice) { m.advice.Add(string(a), 1) }
 
 func (m *Metrics) ended(v forward.Result, took time.Duration) {
@@ -119,7 +120,7 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// Values are cut to the histogram's range; it then takes all of them.
+	// Values are clamped to the histogram's range, so that recording cannot fail.
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxLatency))
 }
 
@@ -151,7 +152,7 @@
 	m.suspendedFor.Add(missed.Milliseconds())
 }
 
-// setZones takes over which availability zones are drained.
+// setZones replaces the drained availability zones.
 func (m *Metrics) setZones(drained []string) {
 	m.zones.Init()
 	for _, zone := range drained {
@@ -159,7 +160,7 @@
 	}
 }
 
-// setCold takes over how many targets are cold, by service.
+// setCold replaces the numbers of cold targets by service.
 func (m *Metrics) setCold(count map[string]int) {
 	m.cold.Init()
 	for service, n := range count {
@@ -167,7 +168,8 @@
 	}
 }
 
-// suspect counts a change of what is known of a request that ended targets.
+// suspect counts a change to the record of a suspected request. A request with a single crash may
+// only have run on the target by chance when another one crashed it: it is a bystander.
 func (m *Metrics) suspect(r quarantine.Record) {
 	switch n := r.Standing(); {
 	case n == 0:
@@ -181,7 +183,7 @@
 	}
 }
 
-// ServeHTTP writes all figures as one JSON object.
+// ServeHTTP writes all metrics as one JSON object.
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	if _, err := w.Write([]byte(m.root.String())); err != nil {
@@ -189,7 +191,7 @@
 	}
 }
 
-// observer logs and counts each request that ended.
+// observer logs and counts each request that has ended.
 type observer struct {
 	log     logr.Logger
 	full    func() bool
@@ -225,7 +227,8 @@
 		"took_ms", milliseconds(took), "retry_after_ms", v.RetryAfter.Milliseconds())
 }
 
-// outcome says in a word how a request ended.
+// outcome returns one word for how a request ended. It is the value of the key outcome in the
+// log.
 func outcome(v forward.Result) string {
 	switch {
 	case v.Truncated:
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -11,7 +11,7 @@
 	"github.com/stepcroft/stepcroft/internal/invariant"
 )
 
-var _ = Describe("The figures", func() {
+var _ = Describe("The metrics", func() {
 	It("have a count for each invariant", func() {
 		w := httptest.NewRecorder()
 		gateway.NewMetrics().ServeHTTP(w, nil)
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -10,20 +10,20 @@
 	"github.com/stepcroft/stepcroft/internal/quarantine"
 )
 
-// Suspect is a suspected request as operators see it. What it asks is not told.
+// Suspect describes a suspected request for operators. It leaves out the request's body.
 type Suspect struct {
 	Content      string `json:"content"`
 	Organisation string `json:"organisation"`
 	// State is "suspected", "sent away", "held back" or "cleared".
 	State string `json:"state"`
-	// Targets are those that ended under it.
+	// Targets are the targets that crashed while they ran it.
 	Targets []string `json:"targets"`
-	// Crashes is how many of them count, Trials how many ended when it was sent although
-	// others had.
+	// Crashes is the number of crashes that still count against it, Trials the number of
+	// crashes when it was sent as a trial after earlier ones.
 	Crashes int `json:"crashes"`
 	Trials  int `json:"trials"`
-	// LastCrash is how long ago the last of them ended, LastSeen how long ago the request
-	// came, Away for how much longer it is sent away, in seconds.
+	// LastCrash is the time since the last crash, LastSeen the time since the request last
+	// came, and Away the time for which it will still be rejected, all in seconds.
 	LastCrash float64 `json:"last_crash_s"`
 	LastSeen  float64 `json:"last_seen_s"`
 	Away      float64 `json:"away_s"`
@@ -52,7 +52,7 @@
 	return out
 }
 
-// Suspects returns the requests that are suspected at this router.
+// Suspects returns the suspected requests that this router knows.
 func (g *Gateway) Suspects(ctx context.Context) []Suspect {
 	list := []Suspect{}
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
@@ -64,8 +64,8 @@
 	return list
 }
 
-// Release clears a request at all routers: targets have to end under it anew. It returns
-// false if none is known.
+// Release clears a request at all routers, so that only new crashes count against it. It returns
+// false if this router does not know the request.
 func (g *Gateway) Release(ctx context.Context, k quarantine.Key) bool {
 	known := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
@@ -77,8 +77,8 @@
 	return known
 }
 
-// Hold holds a request of an organisation back at all routers, until it is released or has
-// not come for an hour. It returns false if that was done too often.
+// Hold holds back a request of an organisation at all routers until it is released or has not
+// come for an hour. It returns false if the request was held and released too often.
 func (g *Gateway) Hold(ctx context.Context, k quarantine.Key, organisation string) bool {
 	held := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
@@ -89,14 +89,15 @@
 	return held
 }
 
-// ServeSuspects is a handler for operators: GET lists the suspected requests as JSON, POST
-// with the parameters content and do ("release", or "hold" with organisation) acts on one.
+// ServeSuspects is an HTTP handler for operators. GET lists the suspected requests as JSON. POST
+// releases or holds back the request with the digest in the parameter content, depending on the
+// parameter do ("release", or "hold" with the parameter organisation).
 func (g *Gateway) ServeSuspects(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodGet:
 		w.Header().Set("Content-Type", "application/json; charset=utf-8")
 		if err := json.NewEncoder(w).Encode(g.Suspects(r.Context())); err != nil {
-			g.Log.Info("suspects not delivered", "cause", err.Error())
+			g.Log.Info("list of suspected requests not sent", "cause", err.Error())
 		}
 	case http.MethodPost:
 		g.act(w, r)
@@ -105,7 +106,7 @@
 	}
 }
 
-// act does what an operator asks for.
+// act releases or holds back a request for an operator.
 func (g *Gateway) act(w http.ResponseWriter, r *http.Request) {
 	k, err := quarantine.ParseKey(r.FormValue("content"))
 	if err != nil {
--- a/internal/gateway/operators_internal_test.go
+++ b/internal/gateway/operators_internal_test.go
@@ -12,7 +12,7 @@
 	"github.com/stepcroft/stepcroft/internal/quarantine"
 )
 
-// ask sends an operator's call to a router.
+// ask sends an operator's request to a router.
 func ask(g *Gateway, method, query string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	g.ServeSuspects(w, httptest.NewRequest(method, "/suspects?"+query, nil))
@@ -51,7 +51,7 @@
 	}
 }
 
-// waitHeld waits until a router holds a request back, or does not.
+// waitHeld waits until a router holds a request back, or until it does not if want is false.
 func waitHeld(t *testing.T, g *Gateway, k quarantine.Key, want bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -75,11 +75,11 @@
 		method, query string
 		code          int
 	}{
-		"a release of what is not there": {http.MethodPost, "do=release&content=" + strings.Repeat("0", 32), http.StatusNotFound},
-		"no content":                     {http.MethodPost, "do=release", http.StatusBadRequest},
-		"a content that is none":         {http.MethodPost, "do=hold&content=xyz", http.StatusBadRequest},
-		"another verb":                   {http.MethodPost, "do=forget&content=" + known.String(), http.StatusBadRequest},
-		"another method":                 {http.MethodDelete, "content=" + known.String(), http.StatusMethodNotAllowed},
+		"a release of an unknown request": {http.MethodPost, "do=release&content=" + strings.Repeat("0", 32), http.StatusNotFound},
+		"no content":                      {http.MethodPost, "do=release", http.StatusBadRequest},
+		"an invalid content":              {http.MethodPost, "do=hold&content=xyz", http.StatusBadRequest},
+		"an unknown action":               {http.MethodPost, "do=forget&content=" + known.String(), http.StatusBadRequest},
+		"another method":                  {http.MethodDelete, "content=" + known.String(), http.StatusMethodNotAllowed},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	// suspectsEach is the number of requests in one message: with some 80 bytes for each
-	// most messages fit into a datagram.
+	// suspectsEach is the most requests in one message. At some 80 bytes each, most messages
+	// fit into a datagram.
 	suspectsEach = 12
-	// expirePeriod is the time between looks for what is too old.
+	// expirePeriod is the interval at which records that are too old are removed.
 	expirePeriod = time.Second
 )
 
-// isolation is what a router knows of requests that end targets, and when it asked others.
-// All but the view belongs to the control goroutine.
+// isolation holds the requests that this router suspects of crashing targets, and the state of
+// their exchange with other routers. It belongs to the control goroutine.
 type isolation struct {
 	state    *quarantine.State
 	exchange *quarantine.Exchange
-	// lives has when the processes of targets started, by id, where they say so.
+	// lives has the start times of the targets' processes by target id, as far as their
+	// entries give them.
 	lives map[string]int64
-	// expired is when was last looked for what is too old.
+	// expired is when old records were last removed.
 	expired time.Time
 }
 
-// Keeper keeps requests that are held back where they outlive all routers. It does not
-// wait, and returns false where it has too many to keep.
+// Keeper persists requests that are held back, so that they survive a restart of all routers. Its
+// methods do not block, and return false if too many writes are pending.
 type Keeper interface {
 	Keep(r quarantine.Record) bool
 	Drop(k quarantine.Key) bool
 }
 
-// Restore takes over requests that were held back before this router started.
+// Restore adds requests that were held back before this router started.
 func (g *Gateway) Restore(list []quarantine.Record) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
 		news, parcels := g.isolation.exchange.Heard(now, list)
@@ -69,8 +70,8 @@
 	return crashes
 }
 
-// StartTrial implements forward.Suspects: of all routers that run, the one that ranks first for
-// the request tries it.
+// StartTrial implements forward.Suspects. Of all running routers, only the one that ranks first
+// for the request may send it as a trial.
 func (g suspects) StartTrial(ctx context.Context, k quarantine.Key, until time.Time) bool {
 	may := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
@@ -113,20 +114,21 @@
 	})
 }
 
-// announced reports whether a target's end was to be expected: it said that it leaves, in
-// an answer or its entry, or its entry had gone before. An entry that lapsed with the store says neither, and a target
-// of which another process is known has started again.
+// announced reports whether a target's exit was expected: the target had announced that it is
+// leaving, in a response or in its entry, or its entry was already gone. A lapsed entry shows
+// neither. If the entry names another process, the target has restarted, and the entry tells
+// nothing about the exit of the earlier one.
 func (g *Gateway) announced(s *balance.State, t balance.Target) bool {
 	known, listed := g.catalog.Target(t.ID)
 	return s.ReportedLeaving(t) || !listed || known.Born == t.Born && known.Leaving
 }
 
-// restarted notes that other processes have started under the ids of targets: what broke off
-// at those before ran there when they ended.
+// restarted records the targets whose entries name a new process. The earlier process has exited,
+// and requests that broke off there were running at its exit.
 func (g *Gateway) restarted(now time.Time, list []balance.Target) {
 	lives := g.isolation.lives
 	if len(lives) > 2*len(list) {
-		// Most of them are gone.
+		// Most of these targets are gone; the map is filled again below.
 		clear(lives)
 	}
 	for _, t := range list {
@@ -142,18 +144,18 @@
 	g.found(now)
 }
 
-// publishSuspects puts what is suspected now in force.
+// publishSuspects makes new requests be checked against the present suspected requests.
 func (g *Gateway) publishSuspects() { g.view.Store(g.isolation.state.View()) }
 
-// found puts in force what is newly known because of what happened here, keeps it, and tells
-// other routers.
+// found publishes, persists and gossips the changes to suspected requests that arose at this
+// router.
 func (g *Gateway) found(now time.Time) {
 	news, parcels := g.isolation.exchange.Found(now)
 	g.suspected(news, parcels, g.ID)
 	g.keep(news)
 }
 
-// suspected puts what is newly known in force, logs it, and tells other routers.
+// suspected publishes, logs and gossips changes to suspected requests.
 func (g *Gateway) suspected(news []quarantine.Record, parcels []quarantine.Parcel, from string) {
 	if len(news) == 0 {
 		return
@@ -166,8 +168,8 @@
 	}
 }
 
-// keep has the keeper keep what this router found: each change of a request that is held
-// back, and that it is cleared.
+// keep writes changes that arose at this router to the keeper: records of requests that are held
+// back, and the removal of those that were cleared.
 func (g *Gateway) keep(list []quarantine.Record) {
 	if g.Keeper == nil {
 		return
@@ -186,7 +188,7 @@
 	}
 }
 
-// ranksFirst reports whether this router is the first of those that run for a request.
+// ranksFirst reports whether this router ranks first for a request among the running routers.
 func (g *Gateway) ranksFirst(now time.Time, k quarantine.Key) bool {
 	standing := member.NewRankCounter(k.String(), g.known.ID, g.known.Zone)
 	for r := range g.running(now) {
@@ -201,8 +203,8 @@
 	}
 }
 
-// logSuspects logs requests of which something new is known. Bystanders of one crash get
-// no line: there are dozens of each.
+// logSuspects logs changes to suspected requests. Requests with a single crash get no line, since
+// dozens of them may just have been running on the target that crashed.
 func (g *Gateway) logSuspects(list []quarantine.Record, from string) {
 	for _, r := range list {
 		g.Metrics.suspect(r)
@@ -222,7 +224,7 @@
 	}
 }
 
-// crashedTargets names the targets that ended under a request.
+// crashedTargets returns the targets that crashed while they ran a request.
 func crashedTargets(r quarantine.Record) []string {
 	list := make([]string, 0, len(r.Crashes))
 	for _, c := range r.Crashes {
@@ -231,7 +233,8 @@
 	return list
 }
 
-// heardSuspects takes in what another router knows of suspected requests.
+// heardSuspects applies another router's records of suspected requests, or sends it all of this
+// router's if it asks for them.
 func (g *Gateway) heardSuspects(now time.Time, from member.Member, m message.Quarantine) {
 	if m.WantAll {
 		g.tellSuspects(from, g.isolation.exchange.All(now))
@@ -241,15 +244,17 @@
 	g.suspected(news, parcels, string(from.ID))
 }
 
-// compareSuspects asks a router that knows something else of suspected requests for all of
-// it.
+// compareSuspects requests all records of suspected requests from a router whose digest of them
+// differs from this router's.
 func (g *Gateway) compareSuspects(now time.Time, from member.Member, digest uint64) {
 	if g.isolation.exchange.Differs(now, digest) {
 		g.tell(from, message.Quarantine{WantAll: true})
 	}
 }
 
-// expireSuspects forgets what is too old.
+// expireSuspects removes records of suspected requests that are too old, at most once every
+// expirePeriod. Of all running routers only the one that ranks first removes a record from the
+// keeper.
 func (g *Gateway) expireSuspects(now time.Time) {
 	if now.Sub(g.isolation.expired) < expirePeriod {
 		return
@@ -260,7 +265,7 @@
 			g.Log.Info("request forgotten", "content", r.Key.String(), "organisation", r.Organisation, "crashes", r.Standing())
 		}
 		if g.Keeper != nil && quarantine.Holds(r.Standing()) && g.ranksFirst(now, r.Key) && !g.Keeper.Drop(r.Key) {
-			g.Log.Info("request held back not dropped", "content", r.Key.String())
+			g.Log.Info("request held back not deleted", "content", r.Key.String())
 		}
 		g.publishSuspects()
 	}
--- a/internal/gateway/quarantine_internal_test.go
+++ b/internal/gateway/quarantine_internal_test.go
@@ -15,7 +15,7 @@
 	"github.com/stepcroft/stepcroft/internal/quarantine"
 )
 
-// listedAs returns a target's entry.
+// listedAs returns a target's entry in the store.
 func listedAs(t *testing.T, revision int64, target balance.Target) message.StoredObject {
 	t.Helper()
 	value, err := json.Marshal(target)
@@ -25,25 +25,25 @@
 	return message.StoredObject{Name: target.ID, Revision: revision, Value: value}
 }
 
-// TestRestartTellsOfTheEnd has a target break off an answer, which is no end of its process
-// by itself, and start again under its id.
+// TestRestartTellsOfTheEnd has a target break off a response, which does not count as a crash by
+// itself, and then restart under its id, which shows that the earlier process has crashed.
 func TestRestartTellsOfTheEnd(t *testing.T) {
 	g := newOwn(t)
 	target := balance.Target{ID: "t", Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 1, Born: 5}
 	g.SetTargets(8, []message.StoredObject{listedAs(t, 8, target)})
 	k := quarantine.KeyOf("o", "POST", "/x", nil)
 	if n := (suspects{g}).RecordBreak(context.Background(), forward.Break{Key: k, Organisation: "o", Target: target}); n != 0 {
-		t.Fatalf("%d ends counted before", n)
+		t.Fatalf("%d crashes counted before the restart, want 0", n)
 	}
 	target.Born = 6
 	g.SetTargets(9, []message.StoredObject{listedAs(t, 9, target)})
 	g.SetTargets(10, []message.StoredObject{listedAs(t, 10, target)})
 	if n := len(g.Suspects(context.Background())); n != 1 || (suspects{g}).View().Crashes(k) != 1 {
-		t.Errorf("%d suspected, %d ends counted after it", n, (suspects{g}).View().Crashes(k))
+		t.Errorf("%d suspected, %d crashes counted after the restart, want 1 and 1", n, (suspects{g}).View().Crashes(k))
 	}
 }
 
-// saysThatItLeaves makes the only target of a service say in an answer that it leaves.
+// saysThatItLeaves makes the only target of a service report in a response that it is leaving.
 func saysThatItLeaves(g *Gateway) {
 	g.loop.PostAndWait(context.Background(), func(s *balance.State, now time.Time) {
 		t := &balance.Ticket{
@@ -55,25 +55,25 @@
 	})
 }
 
-// TestUnannouncedEnds says which ends of targets are counted against what ran there.
+// TestUnannouncedEnds tests which exits of targets count against the requests that ran there.
 func TestUnannouncedEnds(t *testing.T) {
 	target := balance.Target{ID: "t", Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 1, Born: 5}
 	leaving, again := target, target
 	leaving.Leaving, again.Born = true, 6
 	gone := []catalog.Change{{StoredObject: message.StoredObject{Name: "t", Revision: 9}, Gone: true}}
 	cases := map[string]struct {
-		// before is what the router hears of it before it ends.
+		// before tells the router something about the target before it exits.
 		before func(g *Gateway)
 		ended  bool
 		want   int
 	}{
-		"a listed target":                {ended: true, want: 1},
-		"a broken answer alone":          {},
-		"one that said so in an answer":  {ended: true, before: saysThatItLeaves},
-		"one that said that it leaves":   {ended: true, before: func(g *Gateway) { g.SetTargets(9, []message.StoredObject{listedAs(t, 9, leaving)}) }},
-		"one whose entry went":           {ended: true, before: func(g *Gateway) { g.ChangeTargets(9, gone) }},
-		"one that started again":         {ended: true, before: func(g *Gateway) { g.SetTargets(9, []message.StoredObject{listedAs(t, 9, again)}) }, want: 1},
-		"one that lapsed with the store": {ended: true, before: func(g *Gateway) { g.StoreUnstable(); g.ChangeTargets(9, gone) }, want: 1},
+		"a listed target":               {ended: true, want: 1},
+		"a broken response alone":       {},
+		"one that left by its response": {ended: true, before: saysThatItLeaves},
+		"one that left by its entry":    {ended: true, before: func(g *Gateway) { g.SetTargets(9, []message.StoredObject{listedAs(t, 9, leaving)}) }},
+		"one whose entry was removed":   {ended: true, before: func(g *Gateway) { g.ChangeTargets(9, gone) }},
+		"one that restarted":            {ended: true, before: func(g *Gateway) { g.SetTargets(9, []message.StoredObject{listedAs(t, 9, again)}) }, want: 1},
+		"one with a lapsed entry":       {ended: true, before: func(g *Gateway) { g.StoreUnstable(); g.ChangeTargets(9, gone) }, want: 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -86,13 +86,13 @@
 			defer cancel()
 			k := quarantine.KeyOf("o", "POST", "/x", nil)
 			if got := (suspects{g}).RecordBreak(ctx, forward.Break{Key: k, Organisation: "o", Target: target, TargetExited: c.ended}); got != c.want {
-				t.Errorf("%d ends counted, want %d", got, c.want)
+				t.Errorf("%d crashes counted, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// kept counts what is to be kept, by key.
+// kept is a Keeper that counts the calls of Keep by key.
 type kept struct {
 	mu    sync.Mutex
 	count map[quarantine.Key]int
@@ -107,8 +107,9 @@
 
 func (k *kept) Drop(quarantine.Key) bool { return true }
 
-// Requests that are held back are forgotten for good where a store that came back from an older
-// copy lacks them and then all routers are killed.
+// TestHeldBackRequestsAfterStoreCameBackOlder guards against losing held-back requests: a store
+// that came back from an older copy may lack them, and they would be lost if all routers were
+// killed without having written them again.
 func TestHeldBackRequestsAfterStoreCameBackOlder(t *testing.T) {
 	g := newOwn(t)
 	keeper := &kept{count: map[quarantine.Key]int{}}
@@ -128,12 +129,12 @@
 	if before == 0 {
 		t.Fatal("the request is not held back")
 	}
-	// Each kind that is followed tells of it.
+	// The method is called once for each kind of object that is watched.
 	for range 3 {
 		g.StoreCameBackOlder(1)
 	}
 	g.loop.PostAndWait(context.Background(), func(*balance.State, time.Time) {})
 	if n := count() - before; n != 1 {
-		t.Errorf("kept %d times after the store came back, want once", n)
+		t.Errorf("written %d times after the store came back, want once", n)
 	}
 }
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -19,44 +19,45 @@
 )
 
 const (
-	// reportPeriod is the time between reports of load among the routers that
-	// serve callers, while they are few: a third of the time that engines take
-	// to read what they may hold unread.
+	// reportPeriod is the least interval between load reports that serving routers send one
+	// another: a third of the time in which engines work off the largest prefill backlog that
+	// they may have.
 	reportPeriod = 100 * time.Millisecond
-	// periodPerPeer lengthens it for more receivers, so that a router sends and
-	// receives some 100 reports a second.
+	// periodPerPeer times the number of receivers is the interval in larger fleets, so that a
+	// router sends and receives no more than some 100 reports a second.
 	periodPerPeer = 10 * time.Millisecond
-	// meshMost is the number of other serving routers up to which all of them tell
-	// one another; beyond, zones tell sums. Sums are older by up to sumPeriod, and
-	// what passes between zones falls with them.
+	// meshMost is the number of other serving routers up to which every router reports to
+	// every other. Above it, routers report within their zone, and zones exchange sums. That
+	// reduces the traffic between zones, but sums are older by up to sumPeriod.
 	meshMost = 16
-	// sumPeriod is the time between sums: half of what engines take to read what
-	// they may hold unread.
+	// sumPeriod is the interval between a zone's sums: half of the time in which engines work
+	// off the largest prefill backlog that they may have.
 	sumPeriod = 200 * time.Millisecond
-	// sumAge is for how long after a zone's sum what its routers tell directly is
-	// left aside: it is in the sum.
+	// sumAge is how long after a zone's sum direct reports of its routers are ignored, since
+	// the sum includes them.
 	sumAge = time.Second
-	// beatPeriod is the time between looks at which messages to other routers
-	// are due: news that come together in it are passed on together.
+	// beatPeriod is the interval at which the gateway checks which messages to other routers
+	// are due. Updates that arrive within one interval are forwarded together.
 	beatPeriod = 50 * time.Millisecond
 )
 
-// reporter is when and what a router has told the others that serve callers.
+// reporter is the state of this router's load reports to the other serving routers.
 type reporter struct {
 	due time.Time
-	// sumDue is when the next sum of the zone is.
+	// sumDue is when the next sum of the zone is due, if this router is the zone's relay.
 	sumDue time.Time
-	// serving is whether it had something to tell.
+	// serving is set if this router had any load at its last report.
 	serving bool
 }
 
-// beats does what is due towards the other routers.
+// beats runs beat in the control goroutine every beatPeriod until ctx is done.
 func (g *Gateway) beats(ctx context.Context) {
 	for next := clock.Now(); group.SleepUntil(ctx, next); next = clock.Now().Add(beatPeriod) {
 		g.loop.PostAndWait(ctx, g.beat)
 	}
 }
 
+// beat does the periodic work of the control goroutine: reports, gossip, logging and expiry.
 func (g *Gateway) beat(s *balance.State, now time.Time) {
 	if !now.Before(g.reporter.due) {
 		g.report(s, now)
@@ -81,15 +82,15 @@
 	}
 }
 
-// namesMost bounds the targets named in a line, so that a line stays short where
-// hundreds go at once.
+// namesMost is the most targets named in a log line, which stays short that way even if hundreds
+// expire at once.
 const namesMost = 8
 
-// linesMost is the number of routers up to which each change of belief gets a line:
-// where all start at once, hundreds would push other lines out.
+// linesMost is the number of routers up to which each change of state gets a log line of its own.
+// If a whole fleet starts at once, hundreds of them would displace other lines.
 const linesMost = 8
 
-// logBeliefs logs which routers were found, are suspected or gone.
+// logBeliefs logs the routers that have become alive, suspected or gone.
 func (g *Gateway) logBeliefs(list []message.RouterRecord) {
 	if len(list) > linesMost {
 		count := map[string]int{}
@@ -104,8 +105,8 @@
 	}
 }
 
-// logThrottles logs which organisations the router throttles, or no longer: what it
-// refuses unread may be hundreds of requests a second, of which few get a line.
+// logThrottles logs for which organisations throttling has begun or ended. Throttled requests are
+// rejected before parsing, maybe hundreds a second, and most of them get no log line.
 func (g *Gateway) logThrottles(list []throttle.Notice) {
 	for _, k := range list {
 		what := "organisation throttled"
@@ -118,9 +119,9 @@
 	}
 }
 
-// report tells the other routers that serve callers what this one's requests put
-// on targets, as long as there are any, and once that there are none any more. In a
-// large fleet it tells those of its zone, and the relay of the zone tells the sum.
+// report sends the other serving routers the load that this router's requests put on targets, as
+// long as there is any, and one more report when there is none any longer. In a large fleet it
+// reports to its zone only, and the relay of the zone sends the zone's sum to the other zones.
 func (g *Gateway) report(s *balance.State, now time.Time) {
 	r := s.Report(now)
 	serving := g.roster.Serving(now)
@@ -142,15 +143,17 @@
 	period := max(reportPeriod, periodPerPeer*time.Duration(len(to)))
 	g.reporter.due, g.reporter.serving = now.Add(period), r.Active()
 	if summed {
-		// What waits in another zone is told by two, each when its turn comes.
+		// Reports of another zone pass through two routers, each of which sends at its own
+		// interval.
 		period += sumPeriod
 	}
 	s.SetReportPeriod(period)
 	s.SetPeers(g.roster.CountOthers(now), len(serving))
 }
 
-// relays reports whether this router tells the sum of its zone. One that does not
-// serve would rank first for itself alone.
+// relays reports whether this router is the relay of its zone, which sends the zone's sum. A
+// router that does not serve is not in the others' lists, so it would be relay only in its own
+// view.
 func (g *Gateway) relays(serving []message.RouterRecord) bool {
 	self := g.roster.Self()
 	if !self.Serving {
@@ -160,7 +163,7 @@
 	return ok && first.ID == self.ID
 }
 
-// tellSum tells the relay of each other zone the sum of this one.
+// tellSum sends the sum of this zone to the relay of each other zone if it is due.
 func (g *Gateway) tellSum(now time.Time, serving []message.RouterRecord) {
 	if now.Before(g.reporter.sumDue) {
 		return
@@ -180,9 +183,9 @@
 	}
 }
 
-// heardZone takes in the sum of another zone, which replaces what routers of that
-// zone told this one directly, and tells it to this router's zone if it comes from
-// the other.
+// heardZone applies the sum of another zone, which replaces the direct reports of that zone's
+// routers. If the message comes from another zone, this router is its relay and forwards it to
+// the routers of its own zone.
 func (g *Gateway) heardZone(s *balance.State, now time.Time, from member.Member, m message.ZoneStatus) {
 	if m.Zone == g.known.Zone {
 		return
@@ -202,7 +205,7 @@
 	}
 }
 
-// sumName is the name under which a zone's sum stands among routers' reports.
+// sumName returns the name under which a zone's sum is stored among the routers' reports.
 func sumName(zone string) string { return "zone " + zone }
 
 // inZone returns the routers of a list that are in a zone.
@@ -224,7 +227,7 @@
 	return out
 }
 
-// say tells the roster how this router is.
+// say updates this router's own record in the roster.
 func (g *Gateway) say() {
 	g.roster.UpdateSelf(message.RouterRecord{
 		Ready: g.server.Ready(), Leaving: g.leaving, Serving: g.reporter.serving,
@@ -233,28 +236,29 @@
 	g.roster.SetRevisions(g.catalog.Newest(), g.isolation.state.Digest())
 }
 
-// spread tells some other routers at once what is new, who do the same.
+// spread gossips this router's current record and revisions to some other routers at once,
+// without waiting for the next beat.
 func (g *Gateway) spread(now time.Time) {
 	g.say()
 	g.send(g.roster.Gossip(now))
 }
 
-// send sends what the roster says.
+// send sends the roster's outgoing pings.
 func (g *Gateway) send(list []roster.Outgoing) {
 	for _, s := range list {
 		g.tell(member.Member{Peer: s.Peer}, s.Ping)
 	}
 }
 
-// tell sends a message to another router: as a datagram, or on a stream if it is
-// too large.
+// tell sends a message to another router: as a datagram, or on a stream if the message is too
+// large for one.
 func (g *Gateway) tell(to member.Member, m message.Message) {
 	if !g.datagrams.Send(to, m) {
 		g.peers.Send(to, m)
 	}
 }
 
-// describe returns what a report says.
+// describe converts a report into a message.
 func (g *Gateway) describe(r view.Report) message.Status {
 	m := message.Status{Revisions: g.catalog.Newest()}
 	for id, l := range r.Loads {
@@ -273,8 +277,8 @@
 	return message.TargetLoad{Target: id, PendingTokens: l.PendingTokens, Running: l.Running, MemoryTokens: l.MemoryTokens}
 }
 
-// tellLoad tells the serving routers at once what own requests put on a target, and
-// what the last one added.
+// tellLoad sends the serving routers, without waiting for the next report, the load that this
+// router's requests put on a target, and the part that the latest request added.
 func (g *Gateway) tellLoad(target string, now, added view.Load) {
 	m := message.Loads{Loads: []message.TargetLoad{targetLoad(target, now)}, Deltas: []message.TargetLoad{targetLoad(target, added)}}
 	for _, to := range g.roster.Serving(clock.Now()) {
--- a/internal/gateway/report_test.go
+++ b/internal/gateway/report_test.go
@@ -16,8 +16,8 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// fakeRouter is a router that only keeps what others last said and reported, and
-// what they told between reports.
+// fakeRouter is a peer that only records the last messages of each kind that it received, and all
+// changes of load between reports.
 type fakeRouter struct {
 	streams   *peer.Transport
 	datagrams *peer.Datagrams
@@ -29,10 +29,10 @@
 	loads     []message.TargetLoad
 }
 
-// newFakeRouter returns a router that says nothing by itself.
+// newFakeRouter returns a fake router that sends nothing by itself.
 func newFakeRouter() *fakeRouter { return newFakeIn("fake", "z") }
 
-// newFakeIn returns one with a name in an availability zone.
+// newFakeIn returns a fake router with the given name and availability zone.
 func newFakeIn(name message.RouterID, zone string) *fakeRouter {
 	l, conn, err := peer.Listen("127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -47,8 +47,8 @@
 	return f
 }
 
-// say tells a router that this one is there and whether it serves callers, and
-// asks how that one is.
+// say sends a ping to a router that announces the fake router and whether it serves callers, and
+// requests a reply.
 func (f *fakeRouter) say(to *rig, serving bool) {
 	f.self.Version++
 	f.self.Serving = serving
@@ -89,7 +89,7 @@
 	return f.report.Loads
 }
 
-// summed returns the last sum that came, by its zone and loads.
+// summed returns the zone and the loads of the last sum received.
 func (f *fakeRouter) summed() (string, []message.TargetLoad) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,7 +97,7 @@
 }
 
 var _ = Describe("Reports between many routers", func() {
-	// fakes returns serving routers of a zone, more than tell one another directly.
+	// fakes returns n serving routers of a zone that are announced to a router.
 	fakes := func(zone string, n int, to *rig) []*fakeRouter {
 		var list []*fakeRouter
 		for i := range n {
@@ -108,7 +108,7 @@
 		return list
 	}
 
-	It("go to one of another availability zone as a sum", func() {
+	It("go to one router of another availability zone as a sum", func() {
 		r := newRig()
 		r.configure(spec(1))
 		release := make(chan struct{})
@@ -132,7 +132,7 @@
 		Consistently(sums, "300ms").Should(Equal(1))
 	})
 
-	It("are not told as a sum by one that does not serve, and is the only one of its zone", func() {
+	It("are not sent as a sum by a router that does not serve, even if it is the only one of its zone", func() {
 		r := newRig()
 		r.configure(spec(1))
 		far := fakes("y", 20, r)
@@ -147,7 +147,7 @@
 		}, "600ms").Should(BeEmpty())
 	})
 
-	It("come from another zone as a sum, and go on to the own zone", func() {
+	It("come from another zone as a sum, and are forwarded within the zone", func() {
 		r := newRig()
 		c := spec(1)
 		c.Services[0].Engine = &routing.Engine{Slots: 4, CacheTokens: 230_000}
@@ -190,7 +190,7 @@
 		))
 	})
 
-	It("tell at once of a prompt that takes its engine long to read", func() {
+	It("are preceded by an immediate update for a long prompt", func() {
 		r := newRig()
 		c := spec(1)
 		c.Services[0].Engine = &routing.Engine{Slots: 4, CacheTokens: 230_000}
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -18,7 +18,7 @@
 	"github.com/stepcroft/stepcroft/internal/routing"
 )
 
-// notRun is a target's handler that refuses.
+// notRun returns a handler of a target that rejects requests without running them.
 func notRun(status int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(dialect.NotRun, "1")
@@ -26,15 +26,15 @@
 	}
 }
 
-// waitGone waits until a request's caller has gone, which the server sees
-// only after the body has been read.
+// waitGone waits until a request's caller has disconnected, which the server detects only after
+// the body has been read.
 func waitGone(q *http.Request) {
 	if _, err := io.Copy(io.Discard, q.Body); err == nil {
 		<-q.Context().Done()
 	}
 }
 
-// counted counts the calls of a handler.
+// counted returns a handler that calls h and counts the calls in n.
 func counted(n *atomic.Int64, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		n.Add(1)
@@ -47,13 +47,13 @@
 
 	BeforeEach(func() { r = newRig() })
 
-	It("is refused as not run before there is a configuration", func() {
+	It("is rejected as not run before there is a configuration", func() {
 		got := r.post("/many/x")
 		Expect(got.Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.Header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
-	It("names to an engine the one that keeps its prompt's parts, not what a caller names", func() {
+	It("names the engine that caches its prompt's prefixes to another engine, ignoring the caller's header", func() {
 		c := spec(1)
 		c.Services[0].Engine = &routing.Engine{Slots: 4, CacheTokens: 230_000}
 		r.configure(c)
@@ -79,7 +79,8 @@
 			Eventually(seen).Should(Receive(&t))
 			return t
 		}
-		// Two of four slots are left free, so that the third goes elsewhere.
+		// The router leaves two of the four slots free, so that the third request goes to the
+		// other engine.
 		home := ask()
 		Expect(home.source).To(BeEmpty())
 		Expect(ask()).To(Equal(home))
@@ -88,7 +89,7 @@
 		Expect(away.source).To(Equal(addresses[home.target]))
 	})
 
-	It("reaches its target as the caller sent it", func() {
+	It("reaches its target as the caller sent it, except for hop-by-hop and reserved headers", func() {
 		r.configure(spec(1))
 		var seen *http.Request
 		var body string
@@ -122,7 +123,7 @@
 		Expect(left).To(And(BeNumerically(">", 2000), BeNumerically("<=", 4000)))
 	})
 
-	It("never passes on what a caller says in headers that only routers may set", func() {
+	It("is forwarded without the caller's values of headers that only routers may set", func() {
 		r.configure(spec(1))
 		var seen http.Header
 		r.serve("t", func(w http.ResponseWriter, q *http.Request) {
@@ -141,7 +142,7 @@
 	})
 
 	DescribeTable(
-		"gets the router's own answer where it is not proper", func(change func(*http.Request), status int) {
+		"gets an error from the router itself if it is invalid", func(change func(*http.Request), status int) {
 			r.configure(spec(1))
 			r.serve("t", answer)
 			req := newRequest(r.Known().Address, "/many/x")
@@ -153,10 +154,10 @@
 		Entry("no key", func(q *http.Request) { q.Header.Del("Authorization") }, http.StatusUnauthorized),
 		Entry("unknown key", func(q *http.Request) { q.Header.Set("Authorization", "Bearer x") }, http.StatusUnauthorized),
 		Entry("no id", func(q *http.Request) { q.Header.Del(dialect.RequestID) }, http.StatusBadRequest),
-		Entry("absurd deadline", func(q *http.Request) { q.Header.Set(dialect.Deadline, "soon") }, http.StatusBadRequest),
+		Entry("invalid deadline", func(q *http.Request) { q.Header.Set(dialect.Deadline, "soon") }, http.StatusBadRequest),
 	)
 
-	It("is refused where its body is larger than the limit, with a length or in chunks", func() {
+	It("is rejected if its body exceeds the limit, with a Content-Length or chunked", func() {
 		c := spec(1)
 		c.Limits.BodyBytes = 10
 		r.configure(c)
@@ -169,7 +170,7 @@
 		}
 	})
 
-	It("goes to another target when one refuses it", func() {
+	It("goes to another target when one rejects it", func() {
 		r.configure(spec(1))
 		for i, status := range []int{http.StatusServiceUnavailable, http.StatusMisdirectedRequest, http.StatusTooManyRequests} {
 			r.serve(fmt.Sprint("no", i), notRun(status))
@@ -184,7 +185,7 @@
 		Expect(ok).To(BeNumerically(">", 0))
 	})
 
-	It("is refused as not run when all targets refuse it", func() {
+	It("is rejected as not run when all targets reject it", func() {
 		r.configure(spec(1))
 		r.serve("no", notRun(http.StatusServiceUnavailable))
 		got := r.post("/once/x")
@@ -193,7 +194,7 @@
 		Expect(got.Header).NotTo(HaveKey(headerSeal))
 	})
 
-	It("that must not be repeated is sent once, and its lost answer is no promise", func() {
+	It("that must not be repeated is sent once, and gets an error if its response is lost", func() {
 		r.configure(spec(1))
 		var runs atomic.Int64
 		lose := counted(&runs, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
@@ -203,7 +204,7 @@
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
-	It("that may be repeated is sent again when its answer is lost", func() {
+	It("that may be repeated is retried when its response is lost", func() {
 		r.configure(spec(1))
 		r.serve("bad", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		r.serve("good", answer)
@@ -212,7 +213,7 @@
 		}
 	})
 
-	It("gets a target's own failure unchanged", func() {
+	It("gets a target's error response unchanged", func() {
 		r.configure(spec(1))
 		r.serve("t", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(headerSeal, "seal")
@@ -225,7 +226,7 @@
 		))
 	})
 
-	It("gets an answer when its route's time is over", func() {
+	It("gets a timeout error when its route's timeout has passed", func() {
 		c := spec(1)
 		for i := range c.Routes {
 			c.Routes[i].Timeout = 200 * time.Millisecond
@@ -235,7 +236,7 @@
 		Expect(r.post("/once/x").Status).To(Equal(http.StatusGatewayTimeout))
 	})
 
-	It("stops at its target when its caller goes away", func() {
+	It("is cancelled at its target when its caller disconnects", func() {
 		r.configure(spec(1))
 		begun, gone := make(chan bool, 1), make(chan bool, 1)
 		r.serve("t", func(_ http.ResponseWriter, q *http.Request) {
@@ -254,7 +255,7 @@
 		Expect((<-ended).Err).To(HaveOccurred())
 	})
 
-	It("finds its way past targets that cannot be reached", func() {
+	It("goes to another target when one cannot be reached", func() {
 		r.configure(spec(1))
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -267,7 +268,7 @@
 		}
 	})
 
-	It("goes to services by weight, always the same for one id", func() {
+	It("goes to services by weight, and always to the same one for the same id", func() {
 		c := spec(1)
 		c.Routes[0].Shares = []routing.Share{{Service: "s", Weight: 3}, {Service: "other", Weight: 1}}
 		counts := map[string]int{}
@@ -289,7 +290,7 @@
 		r.configure(spec(1))
 	})
 
-	It("is resumed at another engine without a piece lost or doubled", func() {
+	It("is resumed at another engine without lost or duplicated events", func() {
 		r.serve("breaks", streamer(10, 4, 0))
 		r.serve("whole", streamer(10, 10, 0))
 		for range 6 {
@@ -297,7 +298,7 @@
 		}
 	})
 
-	It("that cannot be resumed is cut where it breaks, after whole events", func() {
+	It("that cannot be resumed is cut off after the last complete event", func() {
 		r.serve("breaks", streamer(10, 4, 0))
 		r.serve("too", streamer(10, 4, 0))
 		got := r.post("/single/x")
@@ -305,9 +306,9 @@
 		Expect(got.Body).To(Equal(whole(4)))
 	})
 
-	It("goes on elsewhere when its engine falls silent", func() {
+	It("is resumed at another engine when its engine sends nothing for too long", func() {
 		r.serve("silent", func(w http.ResponseWriter, q *http.Request) {
-			// The body goes first: the server closes it when an answer begins.
+			// The body is read first, since the server closes it when the response begins.
 			if _, err := io.Copy(io.Discard, q.Body); err != nil {
 				return
 			}
@@ -321,7 +322,7 @@
 		}
 	})
 
-	It("is not given up for silence where it could not go elsewhere", func() {
+	It("is not cut off for a long pause if it could not be resumed elsewhere", func() {
 		r := newRigWith(balance.Limits{RetryWindow: time.Second, QuotaWindow: time.Second})
 		r.configure(spec(1))
 		slow := func(w http.ResponseWriter, q *http.Request) {
@@ -336,7 +337,7 @@
 		Expect(r.post("/stream/x")).To(And(HaveField("Body", whole(3)), HaveField("Err", BeNil())))
 	})
 
-	It("passes events on as they come", func() {
+	It("forwards events as they come", func() {
 		next := make(chan bool)
 		r.serve("t", func(w http.ResponseWriter, _ *http.Request) {
 			for i := range 3 {
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -14,7 +14,7 @@
 	"github.com/stepcroft/stepcroft/internal/forward"
 )
 
-// startAgain puts another incarnation of the first target in force.
+// startAgain replaces the entry of the first target by one of a new process.
 func (r *rig) startAgain(born int64, address string) {
 	r.revision++
 	t := balance.Target{ID: r.targets[0].Name, Service: "s", Address: address, Zone: "z", Slots: 4, Born: born}
@@ -22,9 +22,9 @@
 	r.SetTargets(r.revision, r.targets)
 }
 
-var _ = Describe("A target that starts again under its id", func() {
-	// mute is a target that takes requests and falls silent, after the first two
-	// events of a stream.
+var _ = Describe("A target that restarts under its id", func() {
+	// mute returns a target's connection handler that sends the first two events of a stream
+	// and then nothing more.
 	mute := func(began chan<- struct{}) func(net.Conn) {
 		return func(c net.Conn) {
 			buffer := make([]byte, 4096)
@@ -41,7 +41,7 @@
 		}
 	}
 
-	It("has ended what ran there: a stream that may be resumed goes on elsewhere at once", func() {
+	It("has a resumable stream resumed at another target at once", func() {
 		r := newRig()
 		r.configure(spec(1))
 		began := make(chan struct{}, 1)
@@ -55,13 +55,14 @@
 		Eventually(got).WithTimeout(4 * time.Second).Should(Receive(&answer))
 		Expect(answer.Err).NotTo(HaveOccurred())
 		Expect(answer.Body).To(Equal(whole(5)))
-		// Not after the time for which a target may be silent.
+		// The stream was resumed because of the restart, not after the longest pause between
+		// events.
 		figures := httptest.NewRecorder()
 		r.metrics.ServeHTTP(figures, nil)
 		Expect(figures.Body.String()).To(ContainSubstring(`"retries": {"target-restarted": 1`))
 	})
 
-	It("has ended what ran there: what may run once only is told truly", func() {
+	It("fails a request that may run only once, with the restart as the reason", func() {
 		r := newRig()
 		r.configure(spec(1))
 		began := make(chan struct{}, 1)
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -9,13 +9,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// limitOfStop is the time for a planned stop in these tests.
+// limitOfStop is the time limit of planned stops in these tests.
 const limitOfStop = 1600 * time.Millisecond
 
 var _ = Describe("A planned stop", func() {
 	const limit = limitOfStop
 
-	It("lets a stream end that began before it", func() {
+	It("waits for a stream that began before it", func() {
 		r := newRig()
 		r.configure(spec(1))
 		r.serve("t", streamer(10, 10, 50*time.Millisecond))
@@ -26,26 +26,26 @@
 		Expect(<-got).To(And(HaveField("Err", BeNil()), HaveField("Body", whole(10))))
 	})
 
-	It("begins nothing that it may not be able to end", func() {
+	It("rejects requests that may not end in time", func() {
 		r := newRig()
 		r.configure(spec(1))
 		r.serve("t", streamer(10, 10, 60*time.Millisecond))
 		background(func() { r.Drain(context.Background(), limit) })
-		// Three eighths of the limit, by when callers who keep addresses for
-		// long have others.
+		// This is three eighths of the limit, shortly after the router has stopped to accept
+		// all requests. Callers that cache addresses for long have new ones by then.
 		time.Sleep(limit * 38 / 100)
 		got := r.post("/stream/x")
 		if got.Err != nil {
-			// The router listens no more: nothing was read.
+			// The router has closed its listener, so it has not read the request.
 			return
 		}
 		Expect(got.Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.Header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
-	It("serves requests to the end that cannot outlast it", func() {
+	It("serves requests that cannot outlast it until its end", func() {
 		r := newRig()
-		// Times are long enough for a busy machine.
+		// The limit is long enough for a busy machine.
 		const limit = 5 * time.Second
 		c := spec(1)
 		c.Routes[1].Timeout = limit / 5
@@ -53,14 +53,15 @@
 		r.serve("t", answer)
 		background(func() { r.Drain(context.Background(), limit) })
 		Eventually(r.Ready).Should(BeFalse())
-		// One stays and asks again and again; it asked for no addresses.
+		// This caller sends requests to the same address all the time, since it never looks
+		// up addresses.
 		for began := time.Now(); time.Since(began) < limit/2; time.Sleep(20 * time.Millisecond) {
 			Expect(r.post("/many/x").Status).To(Equal(http.StatusOK))
 		}
 		Expect(r.post("/stream/x").Status).To(Equal(http.StatusServiceUnavailable))
 	})
 
-	It("serves callers with older addresses at first, and asks them to go", func() {
+	It("serves callers with cached addresses at first, and asks them to close the connection", func() {
 		r := newRig()
 		r.configure(spec(1))
 		r.serve("t", answer)
--- a/internal/gateway/streams_test.go
+++ b/internal/gateway/streams_test.go
@@ -42,12 +42,12 @@
 	}
 }
 
-// BenchmarkStreams measures the processor time of 100 streams of 40 events at once,
-// the engine's and the callers' own included: 2.2 ms a stream where each event is
-// passed on by itself, and 1.8 ms where the router is short of processor time.
+// BenchmarkStreams measures the CPU time of 100 concurrent streams of 40 events, including that of
+// the engine and the callers: 2.2 ms per stream if each event is forwarded by itself, and 1.8 ms
+// if the router is short of CPU time and coalesces events.
 func BenchmarkStreams(b *testing.B) {
 	const streams, length = 100, 40
-	for name, cores := range map[string]float64{"enough processor time": 0, "short of it": 0.001} {
+	for name, cores := range map[string]float64{"enough CPU time": 0, "short of CPU time": 0.001} {
 		b.Run(name, func(b *testing.B) {
 			g, err := gateway.New(context.Background(), gateway.Options{
 				ID: "r", Zone: "z", Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0", Incarnation: 1, Capacity: cores,
--- a/internal/gateway/tally.go
+++ b/internal/gateway/tally.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	// tallyPeriod is the time between two lines about an organisation's requests.
+	// tallyPeriod is the interval between two log lines about an organisation's requests.
 	tallyPeriod = time.Second
-	// talliesMost is the number of organisations that have such a line at a time.
+	// talliesMost is the most organisations that get such a line in one interval.
 	talliesMost = 4
 )
 
-// outcomes is what became of an organisation's requests.
+// outcomes counts an organisation's requests by how they ended.
 type outcomes struct {
 	answered, refused, cut int
-	// hidden is how many have no line of their own.
+	// hidden counts the requests without a log line of their own.
 	hidden int
-	// tokens is what those count for in shares that were answered or cut.
+	// tokens is the sum that the answered and cut requests count for in fair shares.
 	tokens float64
 }
 
 func (o outcomes) requests() int { return o.answered + o.refused + o.cut }
 
-// tally counts what became of requests by organisation. Of many requests few have a line;
-// the sums tell what an organisation got all the same. The zero value is empty.
+// tally counts request outcomes by organisation. At high rates most requests have no log line; the
+// sums still show what each organisation was served. The zero value is empty.
 type tally struct {
 	mu  sync.Mutex
 	by  map[string]outcomes
 	due time.Time
 }
 
-// add counts a request that ended; hidden tells that it has no line.
+// add counts a request that has ended; hidden is set if it has no log line.
 func (t *tally) add(r forward.Request, v forward.Result, hidden bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,7 +62,8 @@
 	t.by[r.Organisation] = o
 }
 
-// take returns the sums since the last call, or nil before they are due.
+// take returns and resets the sums, or returns nil if tallyPeriod has not passed since the last
+// call that returned them.
 func (t *tally) take(now time.Time) map[string]outcomes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,7 +76,8 @@
 	return by
 }
 
-// logTallies logs sums for the organisations with most requests of which some have no line.
+// logTallies logs the sums of the organisations with the most requests, leaving out those whose
+// requests all have log lines.
 func (g *Gateway) logTallies(now time.Time) {
 	by := g.tally.take(now)
 	maps.DeleteFunc(by, func(_ string, o outcomes) bool { return o.hidden == 0 })
--- a/internal/gateway/tally_internal_test.go
+++ b/internal/gateway/tally_internal_test.go
@@ -21,9 +21,9 @@
 	}
 	sums.add(r, forward.Result{Status: http.StatusOK, HeadSent: true}, true)
 	if got := sums.take(now.Add(tallyPeriod / 2)); got != nil {
-		t.Errorf("told before the time: %+v", got)
+		t.Errorf("sums returned before they are due: %+v", got)
 	}
 	if got := sums.take(now.Add(tallyPeriod))["o"].answered; got != 1 {
-		t.Errorf("%d answered since, want 1", got)
+		t.Errorf("%d answered since the last call, want 1", got)
 	}
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// watchers is the number of routers that watch the store, among those that
-	// reach it: calls are paid for, and the others hear from these within
-	// milliseconds. With three, news is late only if all of them fail at once.
+	// watchers is the number of routers that watch the store, of those that reach it. Calls to
+	// the store are billed, and the other routers get updates from the watchers within
+	// milliseconds. With three, updates are late only if all of them fail at once.
 	watchers = 3
-	// settleTime is for how long a router that has just started waits to hear
-	// from others what the store holds before it asks the store. Where all have
-	// just started nobody can tell: one that knows neither the configuration nor
-	// the targets waits for a part of it that is its own, from settleLeast on, so
-	// that one of them asks soon and tells the others.
+	// settleTime is how long a router that has just started waits for the store's contents
+	// from other routers before it calls the store. If all routers have just started, none can
+	// supply them. Therefore one that lacks the configuration or the targets waits for a
+	// random time from settleLeast to settleTime, so that one of them calls the store soon and
+	// updates the others.
 	settleTime  = 300 * time.Millisecond
 	settleLeast = 20 * time.Millisecond
-	// firstAskers is how many routers about ask the store whatever their rank where
-	// all have just started: those that rank first may start last. With them callers
-	// are served 0.5 and 2.0 s after 33 and 101 routers were all killed, without
-	// 1.0 and 2.5 s (one day at each size, looked at in steps of 0.5 s).
+	// firstAskers is the approximate number of routers that call the store regardless of
+	// their rank if all have just started, since those that rank first may start last. With
+	// them, callers are served again 0.5 s after all of 33 routers were killed and 2.0 s after
+	// all of 101 were; without them, after 1.0 s and 2.5 s (one run of a day at each size, to
+	// the nearest 0.5 s).
 	firstAskers = 6
 )
 
-// settles returns for how long a router waits that nobody has told what the
-// store holds.
+// settles returns a random delay after which a router without a copy of the store's contents may
+// call the store.
 func settles() time.Duration { return settleLeast + rand.N(settleTime-settleLeast) }
 
-// StoreTrouble notes that a call to the store failed.
+// StoreTrouble records that a call to the store failed.
 func (g *Gateway) StoreTrouble() {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
 		g.catalog.MarkUnstable(now)
@@ -45,14 +46,14 @@
 	})
 }
 
-// StoreUnstable notes that the store answers, but may list too few targets.
+// StoreUnstable records that the store answers, but that its list of targets may be incomplete.
 func (g *Gateway) StoreUnstable() {
 	g.loop.Post(func(_ *balance.State, now time.Time) { g.catalog.MarkUnstable(now) })
 }
 
-// StoreCameBackOlder notes that the store came back from an older copy, in a new era. What is
-// missing there may be written again soon. Requests that are held back are this project's own,
-// and nobody else writes them again.
+// StoreCameBackOlder records that the store came back from an older copy, in a new era. Entries
+// that are missing there may be written again soon by their owners. The requests that are held
+// back are owned by the routers, so this method has them written again.
 func (g *Gateway) StoreCameBackOlder(era int64) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
 		g.catalog.MarkUnstable(now)
@@ -63,7 +64,7 @@
 	})
 }
 
-// StoreRevision returns the store's revision as of which the targets are known here.
+// StoreRevision returns the store's revision of this router's list of targets.
 func (g *Gateway) StoreRevision(ctx context.Context) int64 {
 	known := int64(0)
 	if !g.loop.PostAndWait(ctx, func(*balance.State, time.Time) { known = g.catalog.TargetsRevision() }) {
@@ -72,7 +73,7 @@
 	return known
 }
 
-// StoreWorks notes that calls to the store work.
+// StoreWorks records that calls to the store succeed.
 func (g *Gateway) StoreWorks() {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
 		if !g.trouble.IsZero() {
@@ -82,9 +83,9 @@
 	})
 }
 
-// Watches reports whether this router should watch the store: it ranks among
-// the first of those that it hears, or of those that reach the store. One that
-// hears no other ranks first.
+// Watches reports whether this router should watch the store: it ranks among the first of the
+// running routers, or of those that reach the store. A router that knows no other running one
+// ranks first.
 func (g *Gateway) Watches(ctx context.Context) bool {
 	watches := true
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
@@ -113,14 +114,14 @@
 	return watches
 }
 
-// standing returns this router's standing among none yet of those that are to watch
-// the store.
+// standing returns a counter for this router's rank among the candidates for watching the store,
+// to which the other candidates are still to be added.
 func (g *Gateway) standing() *member.RankCounter {
 	return member.NewRankCounter("store", g.known.ID, g.known.Zone)
 }
 
-// OthersWatch reports whether other routers reach the store, as far as known, so
-// that nothing depends on this one.
+// OthersWatch reports whether, as far as known, another running router reaches the store, so that
+// the fleet does not depend on this one.
 func (g *Gateway) OthersWatch(ctx context.Context) bool {
 	watch := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
@@ -131,10 +132,9 @@
 	return watch
 }
 
-// running returns the routers that are running and not leaving, this one included.
-// One that is suspected may be gone: the next in rank takes its place at once, and
-// not when that is certain, which takes 1.5 s more of the two in which a
-// configuration is to be in force.
+// running returns the routers that are running and not leaving, this one included. A suspected
+// router is left out, so that the next in rank replaces it at once. Waiting until it is certainly
+// gone would take 1.5 s more of the two seconds in which a configuration has to be in force.
 func (g *Gateway) running(now time.Time) iter.Seq[message.RouterRecord] {
 	return func(yield func(message.RouterRecord) bool) {
 		for r := range g.roster.Each(now) {
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -11,40 +11,42 @@
 	"github.com/stepcroft/stepcroft/internal/revision"
 )
 
-// drainedZones are availability zones to whose targets nothing is sent, and since when.
+// drainedZones holds the drained availability zones, whose targets get no requests, and the time
+// since when this list has been in force.
 type drainedZones struct {
 	zones []string
 	since time.Time
 }
 
-// coldTargets is how many targets are cold, by service, and how often one was passed over
-// for that since the start.
+// coldTargets holds the number of cold targets by service, and how often one was skipped for
+// being cold since the router started.
 type coldTargets struct {
 	count map[string]int
 	held  int64
 }
 
-// SetZones takes over the store's whole list of drained availability zones.
+// SetZones replaces the drained availability zones with the store's complete list.
 func (g *Gateway) SetZones(at int64, list []message.StoredObject) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
 		changed := g.catalog.SetZones(now, at, list)
 		g.targetsChanged(s, now, changed, fromStore)
 		if !changed {
-			// That there is nothing to know is to be told, too.
+			// The revision may have changed even if the list has not, for instance if it
+			// is empty: the other routers need to know that revision.
 			g.spread(now)
 		}
 	})
 }
 
-// ChangeZones takes over changes to the store's list of drained availability zones.
+// ChangeZones applies changes to the store's list of drained availability zones.
 func (g *Gateway) ChangeZones(at int64, changes []catalog.Change) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
 		g.targetsChanged(s, now, g.catalog.ApplyZones(at, changes), fromStore)
 	})
 }
 
-// logZones logs which availability zones are drained if that has changed, since a complaint
-// that a zone still gets requests begins with when this router knew.
+// logZones logs the drained availability zones if they have changed. If a drained zone still gets
+// requests, operators first look up when each router learned that it was drained.
 func (g *Gateway) logZones(now time.Time, list []balance.Target, from string) {
 	drained := g.catalog.DrainedZones()
 	if slices.Equal(drained, g.drained.zones) {
@@ -59,14 +61,14 @@
 			targets[t.Zone]++
 		}
 	}
-	// A zone without targets is one that nobody knows, or that has none.
+	// A count of 0 shows a zone whose name is unknown, or that has no targets.
 	g.Log.Info("zones drained", "targets", targets, "before", g.drained.zones, "era", revision.Era(g.catalog.Newest().Zones), "revision", revision.Store(g.catalog.Newest().Zones),
 		"before_ms", now.Sub(g.drained.since).Milliseconds(), "from", from)
 	g.Metrics.setZones(drained)
 	g.drained = drainedZones{zones: drained, since: now}
 }
 
-// logCold logs how many targets are cold if that has changed.
+// logCold logs the number of cold targets by service if it has changed.
 func (g *Gateway) logCold(s *balance.State, now time.Time) {
 	count, held := s.ColdTargets(now)
 	if held != g.coldNow.held {
