--- a/internal/gateway/advice.go
+++ b/internal/gateway/advice.go
@@ -5,19 +5,19 @@
 	"github.com/stepcroft/stepcroft/internal/forward"
 )
 
-// refusing is the label, in the metric target_advice, of the times that a target was skipped for
-// a moment because it had rejected several requests in a row.
-const refusing = "refusing"
+// adviceRefusing is the label, in the metric target_advice, of the times that a target was
+// skipped for a moment because it had rejected several requests in a row.
+const adviceRefusing = "refusing"
 
 // logAdvice logs and counts the backoffs of targets that rejected requests without asking for a
 // backoff, and the requests that were sent to targets that were leaving or backing off.
 func (g *Gateway) logAdvice(s *balance.State) {
-	if paused := s.Backoffs(); paused != g.paused {
-		g.Log.Info("targets left alone that turn requests away", "count", paused-g.paused)
-		g.Metrics.advice.Add(refusing, paused-g.paused)
-		g.paused = paused
+	if paused := s.Backoffs(); paused != g.loggedBackoffs {
+		g.Log.Info("targets left alone that turn requests away", "count", paused-g.loggedBackoffs)
+		g.Metrics.advice.Add(adviceRefusing, paused-g.loggedBackoffs)
+		g.loggedBackoffs = paused
 	}
-	now, before := s.SentAgainstAdvice(), g.against
+	now, before := s.SentAgainstAdvice(), g.loggedAgainstAdvice
 	if now == before {
 		return
 	}
@@ -25,5 +25,5 @@
 	g.Log.Info("requests sent against advice", "leaving", leaving, "resting", resting)
 	g.Metrics.againstAdvice.Add(string(forward.AdviceLeaving), leaving)
 	g.Metrics.againstAdvice.Add(string(forward.AdviceBackoff), resting)
-	g.against = now
+	g.loggedAgainstAdvice = now
 }
--- a/internal/gateway/awake.go
+++ b/internal/gateway/awake.go
@@ -9,52 +9,52 @@
 )
 
 const (
-	// confirmFrom is the shortest suspension of the box after which the router confirms its
-	// copy of the store before it serves requests: half of the shortest time, two seconds, in
+	// minConfirmSuspension is the shortest suspension of the box after which the router confirms
+	// its copy of the store before it serves requests: half of the shortest time, two seconds, in
 	// which configurations and keys have to be in force everywhere.
-	confirmFrom = time.Second
-	// confirmMost is the timeout for that confirmation. Routers answer a ping within 0.3 s; a
+	minConfirmSuspension = time.Second
+	// confirmTimeout is the timeout for that confirmation. Routers answer a ping within 0.3 s; a
 	// router that gets no answer serves from the copy it has, as one that is partitioned does.
-	confirmMost = time.Second
+	confirmTimeout = time.Second
 )
 
-// awake treats this router as one that was partitioned for the time that the box was suspended:
+// resume treats this router as one that was partitioned for the time that the box was suspended:
 // its view of the fleet is older by that time, connections may be broken, and API keys may have
 // been revoked.
-func (g *Gateway) awake(_ *balance.State, now time.Time, missed time.Duration) {
+func (g *Gateway) resume(_ *balance.State, now time.Time, missed time.Duration) {
 	g.Log.Info("box was suspended", "missed_ms", missed.Milliseconds(), "open", g.server.Open())
-	g.Metrics.suspended(missed)
+	g.Metrics.recordSuspension(missed)
 	g.roster.Resume(now)
-	g.cold.Join(now)
+	g.coldSenders.Join(now)
 	g.transport.Close()
-	if missed >= confirmFrom {
-		g.unconfirmed = now
+	if missed >= minConfirmSuspension {
+		g.unconfirmedSince = now
 		g.server.Pause(true)
 	}
-	g.spread(now)
+	g.gossip(now)
 }
 
 // confirm ends the wait for a confirmation, if there is one, and serves requests again.
 func (g *Gateway) confirm(now time.Time, by string) {
-	if g.unconfirmed.IsZero() {
+	if g.unconfirmedSince.IsZero() {
 		return
 	}
-	g.Log.Info("configuration confirmed", "by", by, "era", revision.Era(g.catalog.ConfigRevision()), "revision", revision.Store(g.catalog.ConfigRevision()), "after_ms", now.Sub(g.unconfirmed).Milliseconds())
-	g.unconfirmed = time.Time{}
+	g.Log.Info("configuration confirmed", "by", by, "era", revision.Era(g.catalog.ConfigRevision()), "revision", revision.Store(g.catalog.ConfigRevision()), "after_ms", now.Sub(g.unconfirmedSince).Milliseconds())
+	g.unconfirmedSince = time.Time{}
 	g.server.Pause(false)
 }
 
-// confirmedBy takes a reply to a ping as confirmation unless its sender has newer revisions of the
-// store.
-func (g *Gateway) confirmedBy(now time.Time, m message.Ping) {
+// confirmByReply takes a reply to a ping as confirmation unless its sender has newer revisions of
+// the store.
+func (g *Gateway) confirmByReply(now time.Time, m message.Ping) {
 	if m.Kind == message.PingReply && !m.NewerThan(g.catalog.Complete()) {
 		g.confirm(now, string(m.From.ID))
 	}
 }
 
-// stopWaiting ends the wait for a confirmation after confirmMost.
-func (g *Gateway) stopWaiting(now time.Time) {
-	if now.Sub(g.unconfirmed) >= confirmMost {
+// expireConfirmation ends the wait for a confirmation after confirmTimeout.
+func (g *Gateway) expireConfirmation(now time.Time) {
+	if now.Sub(g.unconfirmedSince) >= confirmTimeout {
 		g.confirm(now, "nobody")
 	}
 }
--- a/internal/gateway/awake_internal_test.go
+++ b/internal/gateway/awake_internal_test.go
@@ -37,8 +37,8 @@
 // started counts the routers that these tests have started.
 var started atomic.Uint64
 
-// newOwn returns a configured router for the internal tests.
-func newOwn(t *testing.T, seeds ...string) *Gateway {
+// newConfigured returns a configured router for the internal tests.
+func newConfigured(t *testing.T, seeds ...string) *Gateway {
 	t.Helper()
 	n := started.Add(1)
 	g, err := New(context.Background(), Options{
@@ -64,31 +64,31 @@
 	}
 }
 
-// sleep simulates that the router's box was suspended.
-func sleep(g *Gateway, missed time.Duration) {
-	g.loop.PostAndWait(context.Background(), func(s *balance.State, now time.Time) { g.awake(s, now, missed) })
+// simulateSuspension simulates that the router's box was suspended.
+func simulateSuspension(g *Gateway, missed time.Duration) {
+	g.loop.PostAndWait(context.Background(), func(s *balance.State, now time.Time) { g.resume(s, now, missed) })
 }
 
-// TestAwakeConfirmsFirst guards against serving from an outdated copy of the store: an API key was
-// revoked while a box was suspended, and the router still accepted it afterwards, since by its
-// clock no time had passed.
-func TestAwakeConfirmsFirst(t *testing.T) {
+// TestResumeConfirmsConfiguration guards against serving from an outdated copy of the store: an
+// API key was revoked while a box was suspended, and the router still accepted it afterwards,
+// since by its clock no time had passed.
+func TestResumeConfirmsConfiguration(t *testing.T) {
 	cases := map[string]struct {
 		missed time.Duration
-		// answer is another router's reply to a ping, nil for none.
-		answer *message.Ping
+		// reply is another router's reply to a ping, nil for none.
+		reply  *message.Ping
 		paused bool
 	}{
 		"a short suspension":           {missed: 300 * time.Millisecond},
-		"a reply with nothing newer":   {missed: 5 * time.Second, paused: true, answer: &message.Ping{Kind: message.PingReply, Revisions: message.Revisions{Config: 7}}},
+		"a reply with nothing newer":   {missed: 5 * time.Second, paused: true, reply: &message.Ping{Kind: message.PingReply, Revisions: message.Revisions{Config: 7}}},
 		"no reply":                     {missed: 5 * time.Second, paused: true},
-		"a reply with newer revisions": {missed: 5 * time.Second, paused: true, answer: &message.Ping{Kind: message.PingReply, Revisions: message.Revisions{Config: 8}}},
+		"a reply with newer revisions": {missed: 5 * time.Second, paused: true, reply: &message.Ping{Kind: message.PingReply, Revisions: message.Revisions{Config: 8}}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newOwn(t)
-			sleep(g, c.missed)
+			g := newConfigured(t)
+			simulateSuspension(g, c.missed)
 			if g.Ready() == c.paused {
 				t.Fatalf("ready %v just after the suspension", g.Ready())
 			}
@@ -99,10 +99,10 @@
 					t.Errorf("status %d, Retry-After %q while unconfirmed", recorder.Code, recorder.Header().Get("Retry-After"))
 				}
 			}
-			if c.answer != nil {
-				c.answer.From = message.RouterRecord{ID: "b", Zone: "z", Peer: "127.0.0.1:1", Incarnation: 1, Version: 1}
-				g.loop.PostAndWait(context.Background(), func(_ *balance.State, now time.Time) { g.confirmedBy(now, *c.answer) })
-				if confirmed := c.answer.Config <= 7; g.Ready() != confirmed {
+			if c.reply != nil {
+				c.reply.From = message.RouterRecord{ID: "b", Zone: "z", Peer: "127.0.0.1:1", Incarnation: 1, Version: 1}
+				g.loop.PostAndWait(context.Background(), func(_ *balance.State, now time.Time) { g.confirmByReply(now, *c.reply) })
+				if confirmed := c.reply.Config <= 7; g.Ready() != confirmed {
 					t.Errorf("ready %v after the reply, want %v", g.Ready(), confirmed)
 				}
 			}
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -24,62 +24,62 @@
 	g.loop.Post(func(s *balance.State, now time.Time) {
 		switch m := m.(type) {
 		case message.Ping:
-			g.send(g.roster.Receive(now, m))
-			g.catchUp(now, from, m.Revisions)
+			g.sendPings(g.roster.Receive(now, m))
+			g.requestNewer(now, from, m.Revisions)
 			g.compareSuspects(now, from, m.QuarantineDigest)
-			g.confirmedBy(now, m)
+			g.confirmByReply(now, m)
 			return
 		case message.Status:
-			g.heardStatus(s, now, from, m)
+			g.handleStatus(s, now, from, m)
 		case message.ZoneStatus:
-			g.heardZone(s, now, from, m)
+			g.handleZoneStatus(s, now, from, m)
 		case message.Loads:
-			g.heardLoads(s, now, from.ID, m)
+			g.handleLoads(s, now, from.ID, m)
 		case message.NeedCopy:
 			if m.Config == 0 {
 				// The sender has no configuration, so it has just started: it must know
 				// the suspected requests before it serves its first one.
-				g.tellSuspects(from, g.isolation.exchange.All(now))
+				g.sendSuspects(from, g.quarantine.exchange.All(now))
 			}
-			g.tell(from, g.catalog.Copy(now, m))
+			g.sendTo(from, g.catalog.Copy(now, m))
 		case message.Copy:
-			g.takeCopy(s, now, from, m)
+			g.mergeCopy(s, now, from, m)
 		case message.Quarantine:
-			g.heardSuspects(now, from, m)
+			g.handleQuarantine(now, from, m)
 		}
 		g.roster.NoteContact(now, from.ID)
 	})
 }
 
-// heardStatus applies another router's report, unless the router is in another zone whose sum
+// handleStatus applies another router's report, unless the router is in another zone whose sum
 // already covers it.
-func (g *Gateway) heardStatus(s *balance.State, now time.Time, from member.Member, m message.Status) {
-	g.catchUp(now, from, m.Revisions)
-	if from.Zone == g.known.Zone {
+func (g *Gateway) handleStatus(s *balance.State, now time.Time, from member.Member, m message.Status) {
+	g.requestNewer(now, from, m.Revisions)
+	if from.Zone == g.self.Zone {
 		g.zone.UpdateReport(now, from.ID, m)
 	} else {
-		if now.Sub(g.sums[from.Zone]) < sumAge {
+		if now.Sub(g.lastSums[from.Zone]) < sumTTL {
 			return
 		}
-		s.ForgetPeer(now, sumName(from.Zone))
-		g.direct[from.ID] = from.Zone
+		s.ForgetPeer(now, sumPeerName(from.Zone))
+		g.directZones[from.ID] = from.Zone
 	}
 	s.ApplyReport(now, string(from.ID), reportOf(m))
 }
 
-// heardLoads applies the changes of load that another router sends between reports.
-func (g *Gateway) heardLoads(s *balance.State, now time.Time, from message.RouterID, m message.Loads) {
+// handleLoads applies the changes of load that another router sends between reports.
+func (g *Gateway) handleLoads(s *balance.State, now time.Time, from message.RouterID, m message.Loads) {
 	zone := g.roster.Zone(from)
-	if zone != g.known.Zone && now.Sub(g.sums[zone]) < sumAge {
+	if zone != g.self.Zone && now.Sub(g.lastSums[zone]) < sumTTL {
 		for _, l := range m.Deltas {
-			s.AddPeerLoad(now, sumName(zone), l.Target, loadOf(l))
+			s.AddPeerLoad(now, sumPeerName(zone), l.Target, loadOf(l))
 		}
 		return
 	}
 	for _, l := range m.Loads {
 		s.SetPeerLoad(now, string(from), l.Target, loadOf(l))
 	}
-	if zone == g.known.Zone {
+	if zone == g.self.Zone {
 		g.zone.UpdateLoads(from, m.Loads)
 	}
 }
@@ -102,12 +102,12 @@
 	return r
 }
 
-// catchUp requests a copy of the store's contents from a router that has newer revisions.
-func (g *Gateway) catchUp(now time.Time, from member.Member, has message.Revisions) {
+// requestNewer requests a copy of the store's contents from a router that has newer revisions.
+func (g *Gateway) requestNewer(now time.Time, from member.Member, theirs message.Revisions) {
 	known := g.catalog.Complete()
-	if has.NewerThan(known) && now.Sub(g.asked) >= copyPause {
-		g.asked = now
-		g.tell(from, message.NeedCopy(known))
+	if theirs.NewerThan(known) && now.Sub(g.lastCopyRequest) >= copyRequestInterval {
+		g.lastCopyRequest = now
+		g.sendTo(from, message.NeedCopy(known))
 	}
 }
 
@@ -115,7 +115,7 @@
 	return view.Load{PendingTokens: l.PendingTokens, Running: l.Running, MemoryTokens: l.MemoryTokens}
 }
 
-func (g *Gateway) takeCopy(s *balance.State, now time.Time, from member.Member, m message.Copy) {
+func (g *Gateway) mergeCopy(s *balance.State, now time.Time, from member.Member, m message.Copy) {
 	if len(m.Config) > 0 {
 		g.setConfig(s, m.ConfigRevision, m.Config, string(from.ID))
 	}
@@ -124,12 +124,12 @@
 	g.confirm(now, string(from.ID))
 }
 
-// fromStore is the source, in log lines, of what the store itself delivered. Otherwise it is the
+// sourceStore is the source, in log lines, of what the store itself delivered. Otherwise it is the
 // id of the router that sent it.
-const fromStore = "store"
+const sourceStore = "store"
 
-// fromTime is the source, in log lines, of changes that take effect because a delay has passed.
-const fromTime = "time"
+// sourceTimer is the source, in log lines, of changes that take effect because a delay has passed.
+const sourceTimer = "time"
 
 func (g *Gateway) setConfig(s *balance.State, at int64, value []byte, from string) {
 	began := clock.Now()
@@ -139,7 +139,7 @@
 		return
 	}
 	if !changed {
-		g.logNotTaken(at, value, from)
+		g.logConfigNotTaken(at, value, from)
 		return
 	}
 	t := g.catalog.Table()
@@ -147,12 +147,12 @@
 	g.server.Configure(t)
 	g.Log.Info("configuration in force", "version", t.Version(), "era", revision.Era(at), "revision", revision.Store(at), "from", from,
 		"bytes", len(value), "took_ms", clock.Since(began).Milliseconds())
-	g.spread(clock.Now())
+	g.gossip(clock.Now())
 }
 
-// logNotTaken logs a configuration that was not applied because it differs from the one in
+// logConfigNotTaken logs a configuration that was not applied because it differs from the one in
 // force without being newer.
-func (g *Gateway) logNotTaken(at int64, value []byte, from string) {
+func (g *Gateway) logConfigNotTaken(at int64, value []byte, from string) {
 	if g.catalog.ConfigDiffers(value) {
 		g.Log.Info("configuration not taken", "era", revision.Era(at), "revision", revision.Store(at),
 			"version_in_force", g.catalog.Table().Version(), "bytes", len(value), "from", from)
@@ -161,14 +161,14 @@
 
 // SetConfig applies a configuration from the store if it is newer than the one in force.
 func (g *Gateway) SetConfig(at int64, value []byte) {
-	g.loop.Post(func(s *balance.State, _ time.Time) { g.setConfig(s, at, value, fromStore) })
+	g.loop.Post(func(s *balance.State, _ time.Time) { g.setConfig(s, at, value, sourceStore) })
 }
 
 // SetTargets replaces the targets with the store's complete list.
 func (g *Gateway) SetTargets(at int64, list []message.StoredObject) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
 		changed := g.catalog.SetTargets(now, at, list)
-		g.targetsChanged(s, now, changed, fromStore)
+		g.targetsChanged(s, now, changed, sourceStore)
 	})
 }
 
@@ -176,7 +176,7 @@
 func (g *Gateway) ChangeTargets(at int64, changes []catalog.Change) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
 		g.catalog.ApplyTargets(now, at, changes)
-		g.targetsChanged(s, now, len(changes) > 0, fromStore)
+		g.targetsChanged(s, now, len(changes) > 0, sourceStore)
 	})
 }
 
@@ -199,8 +199,8 @@
 		"leaving", leaving, "lapsed", g.catalog.Lapsed(), "from", from)
 	g.logZones(now, list, from)
 	s.SetTargets(now, list)
-	g.restarted(now, list)
-	g.spread(now)
+	g.recordRestarts(now, list)
+	g.gossip(now)
 }
 
 // logIgnored logs and counts the store entries that could not be used as targets.
@@ -220,55 +220,56 @@
 }
 
 const (
-	// minNear is the least number of addresses returned to a caller if there are as many
+	// minAddresses is the least number of addresses returned to a caller if there are as many
 	// routers, since one of them may fail.
-	minNear = 2
-	// smallShare is the percentage of the largest router's capacity in a zone below which a
-	// router's address is returned only if there are too few others: a burst that a large
+	minAddresses = 2
+	// minCapacityPercent is the percentage of the largest router's capacity in a zone below which
+	// a router's address is returned only if there are too few others: a burst that a large
 	// router can reject overloads a small one.
-	smallShare = 50
+	minCapacityPercent = 50
 )
 
 // Addresses returns the addresses that callers in an availability zone should connect to: the
-// large routers of that zone that are ready, small ones too if there are fewer than minNear
+// large routers of that zone that are ready, small ones too if there are fewer than minAddresses
 // large ones, and one router of another zone if this one has a single router. If the zone has
 // none, it returns routers of other zones.
 func (g *Gateway) Addresses(ctx context.Context, zone string) []string {
-	var near, far []message.RouterRecord
+	var sameZone, otherZones []message.RouterRecord
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
-		g.say()
+		g.updateSelf()
 		for _, r := range g.roster.Live(now) {
 			if !r.Ready || r.State != message.Alive {
 				continue
 			}
 			if r.Zone == zone {
-				near = append(near, r)
+				sameZone = append(sameZone, r)
 				continue
 			}
-			far = append(far, r)
+			otherZones = append(otherZones, r)
 		}
-		near = large(near)
-		far = large(far)
+		sameZone = largeRouters(sameZone)
+		otherZones = largeRouters(otherZones)
 	})
-	if len(near) == 0 {
-		near, far = far, nil
+	if len(sameZone) == 0 {
+		sameZone, otherZones = otherZones, nil
 	}
-	if len(near) < minNear && len(far) > 0 {
-		near = append(near, far[0])
+	if len(sameZone) < minAddresses && len(otherZones) > 0 {
+		sameZone = append(sameZone, otherZones[0])
 	}
 	var list []string
-	for _, m := range near {
+	for _, m := range sameZone {
 		list = append(list, m.Address)
 	}
 	return list
 }
 
-// large returns the routers whose capacity is at least smallShare percent of the greatest, and
-// smaller ones as long as there are fewer than minNear. It sorts the list by capacity.
-func large(list []message.RouterRecord) []message.RouterRecord {
+// largeRouters returns the routers whose capacity is at least minCapacityPercent percent of the
+// greatest, and smaller ones as long as there are fewer than minAddresses. It sorts the list by
+// capacity.
+func largeRouters(list []message.RouterRecord) []message.RouterRecord {
 	slices.SortStableFunc(list, func(a, b message.RouterRecord) int { return cmp.Compare(b.Capacity, a.Capacity) })
 	for i, r := range list {
-		if i >= minNear && r.Capacity*100 < list[0].Capacity*smallShare {
+		if i >= minAddresses && r.Capacity*100 < list[0].Capacity*minCapacityPercent {
 			return list[:i]
 		}
 	}
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -47,7 +47,7 @@
 		Expect(a.Addresses(ctx, "z")).To(BeEmpty())
 		a.configure(spec(1))
 		Eventually(func() []string { return b.Addresses(ctx, "z") }).Should(ConsistOf(a.Known().Address, b.Known().Address))
-		background(func() { b.Drain(ctx, limitOfStop) })
+		background(func() { b.Drain(ctx, stopLimit) })
 		Eventually(func() []string { return a.Addresses(ctx, "z") }).Should(ConsistOf(a.Known().Address))
 	})
 
@@ -129,13 +129,13 @@
 
 	// ranking returns three routers that rank before r for watching the store, and announces
 	// them to r.
-	ranking := func(r *rig) []*fakeRouter {
+	rankedBefore := func(r *rig) []*fakeRouter {
 		var fakes []*fakeRouter
 		for i := 0; len(fakes) < 3; i++ {
 			other := member.Member{ID: message.RouterID(fmt.Sprint("w", i)), Zone: "z"}
 			if member.TopAcrossZones(1, "store", []member.Member{r.Known(), other})[0].ID == other.ID {
-				f := newFakeIn(other.ID, other.Zone)
-				f.say(r, false)
+				f := newFakeRouterIn(other.ID, other.Zone)
+				f.ping(r, false)
 				fakes = append(fakes, f)
 			}
 		}
@@ -144,8 +144,8 @@
 
 	It("watch the store if they have no copy of it, even if others rank before them", func() {
 		r := newRig()
-		for _, f := range ranking(r) {
-			Eventually(func() message.RouterID { return f.heard().ID }).Should(Equal(r.Known().ID))
+		for _, f := range rankedBefore(r) {
+			Eventually(func() message.RouterID { return f.lastRecord().ID }).Should(Equal(r.Known().ID))
 		}
 		Eventually(func() bool { return r.Watches(context.Background()) }).Should(BeTrue())
 		r.configure(spec(1))
@@ -157,13 +157,13 @@
 		r := newRig()
 		r.configure(spec(1))
 		r.serve("t", answer)
-		fakes := ranking(r)
+		fakes := rankedBefore(r)
 		watches := func() bool { return r.Watches(context.Background()) }
 		Eventually(watches).Should(BeFalse())
 		record := fakes[1].self
 		record.State = message.Suspected
-		says := message.Ping{From: fakes[0].self, Kind: message.PingNotice, Records: []message.RouterRecord{record}}
-		Expect(fakes[0].datagrams.Send(r.Known(), says)).To(BeTrue())
+		notice := message.Ping{From: fakes[0].self, Kind: message.PingNotice, Records: []message.RouterRecord{record}}
+		Expect(fakes[0].datagrams.Send(r.Known(), notice)).To(BeTrue())
 		Eventually(watches).Should(BeTrue())
 	})
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -220,8 +220,8 @@
 	}
 }
 
-// whole returns the text of a stream of n events.
-func whole(n int) string {
+// fullStream returns the text of a stream of n events.
+func fullStream(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: e%d\n\n", i, i)
@@ -229,8 +229,8 @@
 	return b.String()
 }
 
-// raw adds a target that calls f with each connection.
-func (r *rig) raw(id string, f func(c net.Conn)) {
+// serveConns adds a target that calls f with each connection.
+func (r *rig) serveConns(id string, f func(c net.Conn)) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	var wait sync.WaitGroup
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// maxLatency is the largest value of the latency histograms, in microseconds. With two
+	// maxLatencyMicros is the largest value of the latency histograms, in microseconds. With two
 	// significant digits a histogram takes some 20 KB.
-	maxLatency    = int64(time.Minute / time.Microsecond)
-	latencyDigits = 2
+	maxLatencyMicros = int64(time.Minute / time.Microsecond)
+	latencyDigits    = 2
 )
 
 // Metrics holds the counters and latency histograms of a gateway. Use NewMetrics to make one.
@@ -34,21 +34,21 @@
 	// ignored counts store entries that could not be used as targets, by the invalid field.
 	ignored *expvar.Map
 	// zones has a 1 for each drained availability zone, cold is the number of cold targets by
-	// service, and coldHeld counts how often a target was skipped for being cold.
+	// service, and coldSkipped counts how often a target was skipped for being cold.
 	zones, cold *expvar.Map
-	coldHeld    *expvar.Int
+	coldSkipped *expvar.Int
 	// advice counts what targets reported about themselves in responses (leaving, backing
 	// off), againstAdvice the requests that were sent to such a target nevertheless.
 	advice, againstAdvice *expvar.Map
 	// suspects counts changes to the records of requests that are suspected of crashing
 	// targets, by their new state.
 	suspects *expvar.Map
-	// suspensions counts how often the box was suspended, suspendedFor is the total length of
+	// suspensions counts how often the box was suspended, suspendedMillis is the total length of
 	// the suspensions in milliseconds.
-	suspensions, suspendedFor *expvar.Int
+	suspensions, suspendedMillis *expvar.Int
 
-	mu                   sync.Mutex
-	waited, first, total *hdrhistogram.Histogram
+	mu                       sync.Mutex
+	waited, firstByte, total *hdrhistogram.Histogram
 }
 
 // NewMetrics returns a set of counters at zero.
@@ -56,12 +56,12 @@
 	m := &Metrics{
 		root: new(expvar.Map), refusals: new(expvar.Map), failures: new(expvar.Map),
 		retries: new(expvar.Map), statuses: new(expvar.Map),
-		ignored: new(expvar.Map), zones: new(expvar.Map), cold: new(expvar.Map), coldHeld: new(expvar.Int), suspects: new(expvar.Map),
+		ignored: new(expvar.Map), zones: new(expvar.Map), cold: new(expvar.Map), coldSkipped: new(expvar.Int), suspects: new(expvar.Map),
 		advice: new(expvar.Map), againstAdvice: new(expvar.Map),
-		suspensions: new(expvar.Int), suspendedFor: new(expvar.Int),
-		waited: hdrhistogram.New(1, maxLatency, latencyDigits),
-		first:  hdrhistogram.New(1, maxLatency, latencyDigits),
-		total:  hdrhistogram.New(1, maxLatency, latencyDigits),
+		suspensions: new(expvar.Int), suspendedMillis: new(expvar.Int),
+		waited:    hdrhistogram.New(1, maxLatencyMicros, latencyDigits),
+		firstByte: hdrhistogram.New(1, maxLatencyMicros, latencyDigits),
+		total:     hdrhistogram.New(1, maxLatencyMicros, latencyDigits),
 	}
 	m.root.Set("refusals", m.refusals)
 	m.root.Set("failures", m.failures)
@@ -70,12 +70,12 @@
 	m.root.Set("targets_ignored", m.ignored)
 	m.root.Set("drained_zones", m.zones)
 	m.root.Set("cold_targets", m.cold)
-	m.root.Set("cold_passed_over", m.coldHeld)
+	m.root.Set("cold_passed_over", m.coldSkipped)
 	m.root.Set("suspected_requests", m.suspects)
 	m.root.Set("target_advice", m.advice)
 	m.root.Set("sent_against_advice", m.againstAdvice)
 	m.root.Set("suspensions", m.suspensions)
-	m.root.Set("suspended_ms", m.suspendedFor)
+	m.root.Set("suspended_ms", m.suspendedMillis)
 	m.root.Set("violations", invariant.Violations())
 	m.root.Set("latency_ms", expvar.Func(m.latencies))
 	m.root.Set("goroutines", expvar.Func(func() any { return runtime.NumGoroutine() }))
@@ -86,7 +86,7 @@
 // Set adds a value that is computed by read each time the metrics are read.
 func (m *Metrics) Set(name string, read func() any) { m.root.Set(name, expvar.Func(read)) }
 
-func (m *Metrics) watch(g *Gateway) {
+func (m *Metrics) addGauges(g *Gateway) {
 	m.Set("target_connections", func() any { return g.transport.Stats() })
 	m.Set("peer_messages", func() any { return g.peers.Stats() })
 	m.Set("peer_datagrams", func() any { return g.datagrams.Stats() })
@@ -101,7 +101,7 @@
 // CountAdvice counts what a target reported about itself.
 func (m *Metrics) CountAdvice(a forward.Advice) { m.advice.Add(string(a), 1) }
 
-func (m *Metrics) ended(v forward.Result, took time.Duration) {
+func (m *Metrics) recordRequest(v forward.Result, took time.Duration) {
 	m.statuses.Add(fmt.Sprint(v.Status), 1)
 	switch {
 	case v.Reason == "":
@@ -114,14 +114,14 @@
 	defer m.mu.Unlock()
 	record(m.waited, v.QueueTime)
 	if v.TimeToFirstByte > 0 {
-		record(m.first, v.TimeToFirstByte)
+		record(m.firstByte, v.TimeToFirstByte)
 	}
 	record(m.total, took)
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	// Values are clamped to the histogram's range, so that recording cannot fail.
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxLatency))
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxLatencyMicros))
 }
 
 // latency is a histogram's summary, in milliseconds.
@@ -136,7 +136,7 @@
 func (m *Metrics) latencies() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return map[string]latency{"waited": summary(m.waited), "first_byte": summary(m.first), "total": summary(m.total)}
+	return map[string]latency{"waited": summary(m.waited), "first_byte": summary(m.firstByte), "total": summary(m.total)}
 }
 
 func summary(h *hdrhistogram.Histogram) latency {
@@ -147,9 +147,9 @@
 	}
 }
 
-func (m *Metrics) suspended(missed time.Duration) {
+func (m *Metrics) recordSuspension(missed time.Duration) {
 	m.suspensions.Add(1)
-	m.suspendedFor.Add(missed.Milliseconds())
+	m.suspendedMillis.Add(missed.Milliseconds())
 }
 
 // setZones replaces the drained availability zones.
@@ -168,9 +168,9 @@
 	}
 }
 
-// suspect counts a change to the record of a suspected request. A request with a single crash may
-// only have run on the target by chance when another one crashed it: it is a bystander.
-func (m *Metrics) suspect(r quarantine.Record) {
+// countSuspect counts a change to the record of a suspected request. A request with a single
+// crash may only have run on the target by chance when another one crashed it: it is a bystander.
+func (m *Metrics) countSuspect(r quarantine.Record) {
 	switch n := r.Standing(); {
 	case n == 0:
 		m.suspects.Add("cleared", 1)
@@ -194,21 +194,21 @@
 // observer logs and counts each request that has ended.
 type observer struct {
 	log     logr.Logger
-	full    func() bool
+	logFull func() bool
 	metrics *Metrics
 	tally   *tally
 }
 
 func (g *Gateway) observer() observer {
-	return observer{log: g.Log, full: g.LogFull, metrics: g.Metrics, tally: &g.tally}
+	return observer{log: g.Log, logFull: g.LogFull, metrics: g.Metrics, tally: &g.tally}
 }
 
 // Ended implements ingress.Observer.
 func (o observer) Ended(r forward.Request, v forward.Result, took time.Duration) {
-	o.metrics.ended(v, took)
-	hidden := o.full != nil && o.full()
-	o.tally.add(r, v, hidden)
-	if hidden {
+	o.metrics.recordRequest(v, took)
+	unlogged := o.logFull != nil && o.logFull()
+	o.tally.add(r, v, unlogged)
+	if unlogged {
 		return
 	}
 	route, goal := "", time.Duration(0)
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -15,12 +15,12 @@
 	It("have a count for each invariant", func() {
 		w := httptest.NewRecorder()
 		gateway.NewMetrics().ServeHTTP(w, nil)
-		var figures struct {
+		var metrics struct {
 			Violations map[string]int `json:"violations"`
 		}
-		Expect(json.Unmarshal(w.Body.Bytes(), &figures)).To(Succeed())
+		Expect(json.Unmarshal(w.Body.Bytes(), &metrics)).To(Succeed())
 		for _, n := range invariant.Names() {
-			Expect(figures.Violations).To(HaveKey(string(n)))
+			Expect(metrics.Violations).To(HaveKey(string(n)))
 		}
 	})
 })
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -56,8 +56,8 @@
 func (g *Gateway) Suspects(ctx context.Context) []Suspect {
 	list := []Suspect{}
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
-		v := g.isolation.state.View()
-		for _, r := range g.isolation.state.All(now) {
+		v := g.quarantine.state.View()
+		for _, r := range g.quarantine.state.All(now) {
 			list = append(list, newSuspect(now, v, r))
 		}
 	})
@@ -69,10 +69,10 @@
 func (g *Gateway) Release(ctx context.Context, k quarantine.Key) bool {
 	known := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
-		g.isolation.state.Clear(k)
-		known = g.isolation.state.Known(k)
+		g.quarantine.state.Clear(k)
+		known = g.quarantine.state.Known(k)
 		g.Log.Info("request released by an operator", "content", k.String(), "known", known)
-		g.found(now)
+		g.publishLocalChanges(now)
 	})
 	return known
 }
@@ -82,9 +82,9 @@
 func (g *Gateway) Hold(ctx context.Context, k quarantine.Key, organisation string) bool {
 	held := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
-		held = g.isolation.state.Hold(now, k, organisation, "operator")
+		held = g.quarantine.state.Hold(now, k, organisation, "operator")
 		g.Log.Info("request held back by an operator", "content", k.String(), "organisation", organisation, "held", held)
-		g.found(now)
+		g.publishLocalChanges(now)
 	})
 	return held
 }
@@ -100,14 +100,14 @@
 			g.Log.Info("list of suspected requests not sent", "cause", err.Error())
 		}
 	case http.MethodPost:
-		g.act(w, r)
+		g.handleAction(w, r)
 	default:
 		http.Error(w, "GET or POST", http.StatusMethodNotAllowed)
 	}
 }
 
-// act releases or holds back a request for an operator.
-func (g *Gateway) act(w http.ResponseWriter, r *http.Request) {
+// handleAction releases or holds back a request for an operator.
+func (g *Gateway) handleAction(w http.ResponseWriter, r *http.Request) {
 	k, err := quarantine.ParseKey(r.FormValue("content"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/gateway/operators_internal_test.go
+++ b/internal/gateway/operators_internal_test.go
@@ -12,17 +12,17 @@
 	"github.com/stepcroft/stepcroft/internal/quarantine"
 )
 
-// ask sends an operator's request to a router.
-func ask(g *Gateway, method, query string) *httptest.ResponseRecorder {
+// callOperators sends an operator's request to a router.
+func callOperators(g *Gateway, method, query string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	g.ServeSuspects(w, httptest.NewRequest(method, "/suspects?"+query, nil))
 	return w
 }
 
-func listed(t *testing.T, g *Gateway) []Suspect {
+func listSuspects(t *testing.T, g *Gateway) []Suspect {
 	t.Helper()
 	var list []Suspect
-	if err := json.Unmarshal(ask(g, http.MethodGet, "").Body.Bytes(), &list); err != nil {
+	if err := json.Unmarshal(callOperators(g, http.MethodGet, "").Body.Bytes(), &list); err != nil {
 		t.Fatal(err)
 	}
 	return list
@@ -30,22 +30,22 @@
 
 func TestOperatorsHoldAndRelease(t *testing.T) {
 	k := quarantine.KeyOf("o", "POST", "/x", []byte("question"))
-	a := newOwn(t)
-	b := newOwn(t, a.Known().Peer)
+	a := newConfigured(t)
+	b := newConfigured(t, a.Known().Peer)
 	hold := "do=hold&organisation=o&content=" + k.String()
 	for range 2 {
-		if w := ask(a, http.MethodPost, hold); w.Code != http.StatusOK {
+		if w := callOperators(a, http.MethodPost, hold); w.Code != http.StatusOK {
 			t.Fatalf("hold: %d %s", w.Code, w.Body)
 		}
 		waitHeld(t, b, k, true)
-		if list := listed(t, b); len(list) != 1 || list[0].State != "held back" || list[0].Organisation != "o" {
+		if list := listSuspects(t, b); len(list) != 1 || list[0].State != "held back" || list[0].Organisation != "o" {
 			t.Errorf("%+v listed at the other router", list)
 		}
-		if w := ask(b, http.MethodPost, "do=release&content="+k.String()); w.Code != http.StatusOK {
+		if w := callOperators(b, http.MethodPost, "do=release&content="+k.String()); w.Code != http.StatusOK {
 			t.Fatalf("release: %d %s", w.Code, w.Body)
 		}
 		waitHeld(t, a, k, false)
-		if list := listed(t, a); len(list) != 1 || list[0].State != "cleared" {
+		if list := listSuspects(t, a); len(list) != 1 || list[0].State != "cleared" {
 			t.Errorf("%+v listed after the release", list)
 		}
 	}
@@ -65,8 +65,8 @@
 	}
 }
 
-func TestOperatorsMistakes(t *testing.T) {
-	g := newOwn(t)
+func TestInvalidOperatorRequests(t *testing.T) {
+	g := newConfigured(t)
 	known := quarantine.KeyOf("o", "POST", "/x", nil)
 	if !g.Hold(context.Background(), known, "o") {
 		t.Fatal("not held")
@@ -83,10 +83,10 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			if w := ask(g, c.method, c.query); w.Code != c.code {
+			if w := callOperators(g, c.method, c.query); w.Code != c.code {
 				t.Errorf("status %d, want %d", w.Code, c.code)
 			}
-			if list := listed(t, g); len(list) != 1 || list[0].State != "held back" {
+			if list := listSuspects(t, g); len(list) != 1 || list[0].State != "held back" {
 				t.Errorf("%+v listed afterwards", list)
 			}
 		})
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// suspectsEach is the most requests in one message. At some 80 bytes each, most messages
-	// fit into a datagram.
-	suspectsEach = 12
-	// expirePeriod is the interval at which records that are too old are removed.
-	expirePeriod = time.Second
+	// maxSuspectsPerMessage is the most requests in one message. At some 80 bytes each, most
+	// messages fit into a datagram.
+	maxSuspectsPerMessage = 12
+	// expireInterval is the interval at which records that are too old are removed.
+	expireInterval = time.Second
 )
 
-// isolation holds the requests that this router suspects of crashing targets, and the state of
-// their exchange with other routers. It belongs to the control goroutine.
-type isolation struct {
+// quarantineState holds the requests that this router suspects of crashing targets, and the state
+// of their exchange with other routers. It belongs to the control goroutine.
+type quarantineState struct {
 	state    *quarantine.State
 	exchange *quarantine.Exchange
-	// lives has the start times of the targets' processes by target id, as far as their
+	// bornByTarget has the start times of the targets' processes by target id, as far as their
 	// entries give them.
-	lives map[string]int64
-	// expired is when old records were last removed.
-	expired time.Time
+	bornByTarget map[string]int64
+	// lastExpiry is when old records were last removed.
+	lastExpiry time.Time
 }
 
 // Keeper persists requests that are held back, so that they survive a restart of all routers. Its
@@ -42,8 +42,8 @@
 // Restore adds requests that were held back before this router started.
 func (g *Gateway) Restore(list []quarantine.Record) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
-		news, parcels := g.isolation.exchange.Heard(now, list)
-		g.suspected(news, parcels, fromStore)
+		news, parcels := g.quarantine.exchange.Heard(now, list)
+		g.publishChanges(news, parcels, sourceStore)
 	})
 }
 
@@ -51,21 +51,21 @@
 type suspects struct{ *Gateway }
 
 // View implements forward.Suspects.
-func (g suspects) View() *quarantine.View { return g.view.Load() }
+func (g suspects) View() *quarantine.View { return g.quarantineView.Load() }
 
 // RecordBreak implements forward.Suspects.
 func (g suspects) RecordBreak(ctx context.Context, b forward.Break) int {
 	crashes := 0
 	g.loop.PostAndWait(ctx, func(s *balance.State, now time.Time) {
-		if g.announced(s, b.Target) {
+		if g.exitExpected(s, b.Target) {
 			return
 		}
 		name := b.Target.Incarnation()
 		if b.TargetExited {
-			g.isolation.state.Ended(now, name)
+			g.quarantine.state.Ended(now, name)
 		}
-		crashes = g.isolation.state.Broke(now, b.Key, b.Organisation, name, b.OnTrial)
-		g.found(now)
+		crashes = g.quarantine.state.Broke(now, b.Key, b.Organisation, name, b.OnTrial)
+		g.publishLocalChanges(now)
 	})
 	return crashes
 }
@@ -75,7 +75,7 @@
 func (g suspects) StartTrial(ctx context.Context, k quarantine.Key, until time.Time) bool {
 	may := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
-		may = g.ranksFirst(now, k) && g.isolation.state.Try(now, k, until)
+		may = g.ranksFirst(now, k) && g.quarantine.state.Try(now, k, until)
 		if may {
 			g.Log.Info("request on trial", "content", k.String())
 		}
@@ -85,15 +85,15 @@
 
 // EndTrial implements forward.Suspects.
 func (g suspects) EndTrial(k quarantine.Key) {
-	g.loop.Post(func(*balance.State, time.Time) { g.isolation.state.Tried(k) })
+	g.loop.Post(func(*balance.State, time.Time) { g.quarantine.state.Tried(k) })
 }
 
 // RecordExit implements forward.Suspects.
 func (g suspects) RecordExit(t balance.Target) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
-		if !g.announced(s, t) {
-			g.isolation.state.Ended(now, t.Incarnation())
-			g.found(now)
+		if !g.exitExpected(s, t) {
+			g.quarantine.state.Ended(now, t.Incarnation())
+			g.publishLocalChanges(now)
 		}
 	})
 }
@@ -101,76 +101,76 @@
 // RecordSuccess implements forward.Suspects.
 func (g suspects) RecordSuccess(k quarantine.Key) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
-		g.isolation.state.Clear(k)
-		g.found(now)
+		g.quarantine.state.Clear(k)
+		g.publishLocalChanges(now)
 	})
 }
 
 // RecordSeen implements forward.Suspects.
 func (g suspects) RecordSeen(k quarantine.Key) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
-		g.isolation.state.Seen(now, k)
+		g.quarantine.state.Seen(now, k)
 		g.publishSuspects()
 	})
 }
 
-// announced reports whether a target's exit was expected: the target had announced that it is
+// exitExpected reports whether a target's exit was expected: the target had announced that it is
 // leaving, in a response or in its entry, or its entry was already gone. A lapsed entry shows
 // neither. If the entry names another process, the target has restarted, and the entry tells
 // nothing about the exit of the earlier one.
-func (g *Gateway) announced(s *balance.State, t balance.Target) bool {
+func (g *Gateway) exitExpected(s *balance.State, t balance.Target) bool {
 	known, listed := g.catalog.Target(t.ID)
 	return s.ReportedLeaving(t) || !listed || known.Born == t.Born && known.Leaving
 }
 
-// restarted records the targets whose entries name a new process. The earlier process has exited,
-// and requests that broke off there were running at its exit.
-func (g *Gateway) restarted(now time.Time, list []balance.Target) {
-	lives := g.isolation.lives
-	if len(lives) > 2*len(list) {
+// recordRestarts records the targets whose entries name a new process. The earlier process has
+// exited, and requests that broke off there were running at its exit.
+func (g *Gateway) recordRestarts(now time.Time, list []balance.Target) {
+	born := g.quarantine.bornByTarget
+	if len(born) > 2*len(list) {
 		// Most of these targets are gone; the map is filled again below.
-		clear(lives)
+		clear(born)
 	}
 	for _, t := range list {
-		known, ok := lives[t.ID]
+		known, ok := born[t.ID]
 		if known == t.Born {
 			continue
 		}
-		lives[t.ID] = t.Born
+		born[t.ID] = t.Born
 		if ok {
-			g.isolation.state.Ended(now, balance.Target{ID: t.ID, Born: known}.Incarnation())
+			g.quarantine.state.Ended(now, balance.Target{ID: t.ID, Born: known}.Incarnation())
 		}
 	}
-	g.found(now)
+	g.publishLocalChanges(now)
 }
 
 // publishSuspects makes new requests be checked against the present suspected requests.
-func (g *Gateway) publishSuspects() { g.view.Store(g.isolation.state.View()) }
+func (g *Gateway) publishSuspects() { g.quarantineView.Store(g.quarantine.state.View()) }
 
-// found publishes, persists and gossips the changes to suspected requests that arose at this
-// router.
-func (g *Gateway) found(now time.Time) {
-	news, parcels := g.isolation.exchange.Found(now)
-	g.suspected(news, parcels, g.ID)
-	g.keep(news)
+// publishLocalChanges publishes, persists and gossips the changes to suspected requests that
+// arose at this router.
+func (g *Gateway) publishLocalChanges(now time.Time) {
+	news, parcels := g.quarantine.exchange.Found(now)
+	g.publishChanges(news, parcels, g.ID)
+	g.persist(news)
 }
 
-// suspected publishes, logs and gossips changes to suspected requests.
-func (g *Gateway) suspected(news []quarantine.Record, parcels []quarantine.Parcel, from string) {
+// publishChanges publishes, logs and gossips changes to suspected requests.
+func (g *Gateway) publishChanges(news []quarantine.Record, parcels []quarantine.Parcel, from string) {
 	if len(news) == 0 {
 		return
 	}
 	g.publishSuspects()
 	g.logSuspects(news, from)
-	g.say()
+	g.updateSelf()
 	for _, p := range parcels {
-		g.tellSuspects(member.Member{Peer: p.To}, p.Records)
+		g.sendSuspects(member.Member{Peer: p.To}, p.Records)
 	}
 }
 
-// keep writes changes that arose at this router to the keeper: records of requests that are held
-// back, and the removal of those that were cleared.
-func (g *Gateway) keep(list []quarantine.Record) {
+// persist writes changes that arose at this router to the keeper: records of requests that are
+// held back, and the removal of those that were cleared.
+func (g *Gateway) persist(list []quarantine.Record) {
 	if g.Keeper == nil {
 		return
 	}
@@ -190,16 +190,16 @@
 
 // ranksFirst reports whether this router ranks first for a request among the running routers.
 func (g *Gateway) ranksFirst(now time.Time, k quarantine.Key) bool {
-	standing := member.NewRankCounter(k.String(), g.known.ID, g.known.Zone)
-	for r := range g.running(now) {
+	standing := member.NewRankCounter(k.String(), g.self.ID, g.self.Zone)
+	for r := range g.runningRouters(now) {
 		standing.Add(r.ID, r.Zone)
 	}
 	return standing.InTop(1)
 }
 
-func (g *Gateway) tellSuspects(to member.Member, list []quarantine.Record) {
-	for part := range slices.Chunk(list, suspectsEach) {
-		g.tell(to, message.Quarantine{Records: part})
+func (g *Gateway) sendSuspects(to member.Member, list []quarantine.Record) {
+	for part := range slices.Chunk(list, maxSuspectsPerMessage) {
+		g.sendTo(to, message.Quarantine{Records: part})
 	}
 }
 
@@ -207,7 +207,7 @@
 // dozens of them may just have been running on the target that crashed.
 func (g *Gateway) logSuspects(list []quarantine.Record, from string) {
 	for _, r := range list {
-		g.Metrics.suspect(r)
+		g.Metrics.countSuspect(r)
 		standing := r.Standing()
 		if len(r.Crashes) == 1 {
 			continue
@@ -233,34 +233,34 @@
 	return list
 }
 
-// heardSuspects applies another router's records of suspected requests, or sends it all of this
+// handleQuarantine applies another router's records of suspected requests, or sends it all of this
 // router's if it asks for them.
-func (g *Gateway) heardSuspects(now time.Time, from member.Member, m message.Quarantine) {
+func (g *Gateway) handleQuarantine(now time.Time, from member.Member, m message.Quarantine) {
 	if m.WantAll {
-		g.tellSuspects(from, g.isolation.exchange.All(now))
+		g.sendSuspects(from, g.quarantine.exchange.All(now))
 		return
 	}
-	news, parcels := g.isolation.exchange.Heard(now, m.Records)
-	g.suspected(news, parcels, string(from.ID))
+	news, parcels := g.quarantine.exchange.Heard(now, m.Records)
+	g.publishChanges(news, parcels, string(from.ID))
 }
 
 // compareSuspects requests all records of suspected requests from a router whose digest of them
 // differs from this router's.
 func (g *Gateway) compareSuspects(now time.Time, from member.Member, digest uint64) {
-	if g.isolation.exchange.Differs(now, digest) {
-		g.tell(from, message.Quarantine{WantAll: true})
+	if g.quarantine.exchange.Differs(now, digest) {
+		g.sendTo(from, message.Quarantine{WantAll: true})
 	}
 }
 
 // expireSuspects removes records of suspected requests that are too old, at most once every
-// expirePeriod. Of all running routers only the one that ranks first removes a record from the
+// expireInterval. Of all running routers only the one that ranks first removes a record from the
 // keeper.
 func (g *Gateway) expireSuspects(now time.Time) {
-	if now.Sub(g.isolation.expired) < expirePeriod {
+	if now.Sub(g.quarantine.lastExpiry) < expireInterval {
 		return
 	}
-	g.isolation.expired = now
-	for _, r := range g.isolation.state.Expire(now) {
+	g.quarantine.lastExpiry = now
+	for _, r := range g.quarantine.state.Expire(now) {
 		if r.Standing() > 1 {
 			g.Log.Info("request forgotten", "content", r.Key.String(), "organisation", r.Organisation, "crashes", r.Standing())
 		}
--- a/internal/gateway/quarantine_internal_test.go
+++ b/internal/gateway/quarantine_internal_test.go
@@ -15,8 +15,8 @@
 	"github.com/stepcroft/stepcroft/internal/quarantine"
 )
 
-// listedAs returns a target's entry in the store.
-func listedAs(t *testing.T, revision int64, target balance.Target) message.StoredObject {
+// targetEntry returns a target's entry in the store.
+func targetEntry(t *testing.T, revision int64, target balance.Target) message.StoredObject {
 	t.Helper()
 	value, err := json.Marshal(target)
 	if err != nil {
@@ -25,26 +25,26 @@
 	return message.StoredObject{Name: target.ID, Revision: revision, Value: value}
 }
 
-// TestRestartTellsOfTheEnd has a target break off a response, which does not count as a crash by
+// TestRestartCountsAsCrash has a target break off a response, which does not count as a crash by
 // itself, and then restart under its id, which shows that the earlier process has crashed.
-func TestRestartTellsOfTheEnd(t *testing.T) {
-	g := newOwn(t)
+func TestRestartCountsAsCrash(t *testing.T) {
+	g := newConfigured(t)
 	target := balance.Target{ID: "t", Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 1, Born: 5}
-	g.SetTargets(8, []message.StoredObject{listedAs(t, 8, target)})
+	g.SetTargets(8, []message.StoredObject{targetEntry(t, 8, target)})
 	k := quarantine.KeyOf("o", "POST", "/x", nil)
 	if n := (suspects{g}).RecordBreak(context.Background(), forward.Break{Key: k, Organisation: "o", Target: target}); n != 0 {
 		t.Fatalf("%d crashes counted before the restart, want 0", n)
 	}
 	target.Born = 6
-	g.SetTargets(9, []message.StoredObject{listedAs(t, 9, target)})
-	g.SetTargets(10, []message.StoredObject{listedAs(t, 10, target)})
+	g.SetTargets(9, []message.StoredObject{targetEntry(t, 9, target)})
+	g.SetTargets(10, []message.StoredObject{targetEntry(t, 10, target)})
 	if n := len(g.Suspects(context.Background())); n != 1 || (suspects{g}).View().Crashes(k) != 1 {
 		t.Errorf("%d suspected, %d crashes counted after the restart, want 1 and 1", n, (suspects{g}).View().Crashes(k))
 	}
 }
 
-// saysThatItLeaves makes the only target of a service report in a response that it is leaving.
-func saysThatItLeaves(g *Gateway) {
+// reportLeaving makes the only target of a service report in a response that it is leaving.
+func reportLeaving(g *Gateway) {
 	g.loop.PostAndWait(context.Background(), func(s *balance.State, now time.Time) {
 		t := &balance.Ticket{
 			ID: "r", Service: "s", Goal: time.Second, Arrived: now, Deadline: now.Add(time.Second), Decision: make(chan balance.Decision, 1),
@@ -55,8 +55,8 @@
 	})
 }
 
-// TestUnannouncedEnds tests which exits of targets count against the requests that ran there.
-func TestUnannouncedEnds(t *testing.T) {
+// TestUnexpectedExits tests which exits of targets count against the requests that ran there.
+func TestUnexpectedExits(t *testing.T) {
 	target := balance.Target{ID: "t", Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 1, Born: 5}
 	leaving, again := target, target
 	leaving.Leaving, again.Born = true, 6
@@ -69,16 +69,16 @@
 	}{
 		"a listed target":               {ended: true, want: 1},
 		"a broken response alone":       {},
-		"one that left by its response": {ended: true, before: saysThatItLeaves},
-		"one that left by its entry":    {ended: true, before: func(g *Gateway) { g.SetTargets(9, []message.StoredObject{listedAs(t, 9, leaving)}) }},
+		"one that left by its response": {ended: true, before: reportLeaving},
+		"one that left by its entry":    {ended: true, before: func(g *Gateway) { g.SetTargets(9, []message.StoredObject{targetEntry(t, 9, leaving)}) }},
 		"one whose entry was removed":   {ended: true, before: func(g *Gateway) { g.ChangeTargets(9, gone) }},
-		"one that restarted":            {ended: true, before: func(g *Gateway) { g.SetTargets(9, []message.StoredObject{listedAs(t, 9, again)}) }, want: 1},
+		"one that restarted":            {ended: true, before: func(g *Gateway) { g.SetTargets(9, []message.StoredObject{targetEntry(t, 9, again)}) }, want: 1},
 		"one with a lapsed entry":       {ended: true, before: func(g *Gateway) { g.StoreUnstable(); g.ChangeTargets(9, gone) }, want: 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			g := newOwn(t)
-			g.SetTargets(8, []message.StoredObject{listedAs(t, 8, target)})
+			g := newConfigured(t)
+			g.SetTargets(8, []message.StoredObject{targetEntry(t, 8, target)})
 			if c.before != nil {
 				c.before(g)
 			}
@@ -92,32 +92,32 @@
 	}
 }
 
-// kept is a Keeper that counts the calls of Keep by key.
-type kept struct {
+// countingKeeper is a Keeper that counts the calls of Keep by key.
+type countingKeeper struct {
 	mu    sync.Mutex
 	count map[quarantine.Key]int
 }
 
-func (k *kept) Keep(r quarantine.Record) bool {
+func (k *countingKeeper) Keep(r quarantine.Record) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.count[r.Key]++
 	return true
 }
 
-func (k *kept) Drop(quarantine.Key) bool { return true }
+func (k *countingKeeper) Drop(quarantine.Key) bool { return true }
 
 // TestHeldBackRequestsAfterStoreCameBackOlder guards against losing held-back requests: a store
 // that came back from an older copy may lack them, and they would be lost if all routers were
 // killed without having written them again.
 func TestHeldBackRequestsAfterStoreCameBackOlder(t *testing.T) {
-	g := newOwn(t)
-	keeper := &kept{count: map[quarantine.Key]int{}}
+	g := newConfigured(t)
+	keeper := &countingKeeper{count: map[quarantine.Key]int{}}
 	key := quarantine.KeyOf("o", "POST", "/x", nil)
 	g.loop.PostAndWait(context.Background(), func(*balance.State, time.Time) { g.Keeper = keeper })
 	for i := range 3 {
 		target := balance.Target{ID: fmt.Sprint("t", i), Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 1, Born: 5}
-		g.SetTargets(int64(8+i), []message.StoredObject{listedAs(t, int64(8+i), target)})
+		g.SetTargets(int64(8+i), []message.StoredObject{targetEntry(t, int64(8+i), target)})
 		(suspects{g}).RecordBreak(context.Background(), forward.Break{Key: key, Organisation: "o", Target: target, TargetExited: true})
 	}
 	count := func() int {
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -26,19 +26,19 @@
 	// periodPerPeer times the number of receivers is the interval in larger fleets, so that a
 	// router sends and receives no more than some 100 reports a second.
 	periodPerPeer = 10 * time.Millisecond
-	// meshMost is the number of other serving routers up to which every router reports to
+	// maxMeshPeers is the number of other serving routers up to which every router reports to
 	// every other. Above it, routers report within their zone, and zones exchange sums. That
 	// reduces the traffic between zones, but sums are older by up to sumPeriod.
-	meshMost = 16
+	maxMeshPeers = 16
 	// sumPeriod is the interval between a zone's sums: half of the time in which engines work
 	// off the largest prefill backlog that they may have.
 	sumPeriod = 200 * time.Millisecond
-	// sumAge is how long after a zone's sum direct reports of its routers are ignored, since
+	// sumTTL is how long after a zone's sum direct reports of its routers are ignored, since
 	// the sum includes them.
-	sumAge = time.Second
-	// beatPeriod is the interval at which the gateway checks which messages to other routers
+	sumTTL = time.Second
+	// tickInterval is the interval at which the gateway checks which messages to other routers
 	// are due. Updates that arrive within one interval are forwarded together.
-	beatPeriod = 50 * time.Millisecond
+	tickInterval = 50 * time.Millisecond
 )
 
 // reporter is the state of this router's load reports to the other serving routers.
@@ -46,53 +46,53 @@
 	due time.Time
 	// sumDue is when the next sum of the zone is due, if this router is the zone's relay.
 	sumDue time.Time
-	// serving is set if this router had any load at its last report.
-	serving bool
+	// active is set if this router had any load at its last report.
+	active bool
 }
 
-// beats runs beat in the control goroutine every beatPeriod until ctx is done.
-func (g *Gateway) beats(ctx context.Context) {
-	for next := clock.Now(); group.SleepUntil(ctx, next); next = clock.Now().Add(beatPeriod) {
-		g.loop.PostAndWait(ctx, g.beat)
+// runTicks runs tick in the control goroutine every tickInterval until ctx is done.
+func (g *Gateway) runTicks(ctx context.Context) {
+	for next := clock.Now(); group.SleepUntil(ctx, next); next = clock.Now().Add(tickInterval) {
+		g.loop.PostAndWait(ctx, g.tick)
 	}
 }
 
-// beat does the periodic work of the control goroutine: reports, gossip, logging and expiry.
-func (g *Gateway) beat(s *balance.State, now time.Time) {
+// tick does the periodic work of the control goroutine: reports, gossip, logging and expiry.
+func (g *Gateway) tick(s *balance.State, now time.Time) {
 	if !now.Before(g.reporter.due) {
 		g.report(s, now)
 	}
-	g.say()
-	g.send(g.roster.Tick(now))
-	g.logBeliefs(g.roster.Changes())
+	g.updateSelf()
+	g.sendPings(g.roster.Tick(now))
+	g.logStateChanges(g.roster.Changes())
 	g.logThrottles(s.ThrottleNotices())
 	g.logTallies(now)
 	g.logCold(s, now)
 	g.logAdvice(s)
-	g.found(now)
+	g.publishLocalChanges(now)
 	g.expireSuspects(now)
-	g.stopWaiting(now)
+	g.expireConfirmation(now)
 	if expired := g.catalog.ExpireLapsed(now); len(expired) > 0 {
 		g.Log.Info("lapsed targets given up", "era", revision.Era(g.catalog.TargetsRevision()), "revision", revision.Store(g.catalog.TargetsRevision()), "count", len(expired),
-			"targets", expired[:min(len(expired), namesMost)])
+			"targets", expired[:min(len(expired), maxLoggedTargets)])
 		s.SetTargets(now, g.catalog.Targets())
 	}
 	if g.catalog.Settle(now) {
-		g.targetsChanged(s, now, true, fromTime)
+		g.targetsChanged(s, now, true, sourceTimer)
 	}
 }
 
-// namesMost is the most targets named in a log line, which stays short that way even if hundreds
-// expire at once.
-const namesMost = 8
+// maxLoggedTargets is the most targets named in a log line, which stays short that way even if
+// hundreds expire at once.
+const maxLoggedTargets = 8
 
-// linesMost is the number of routers up to which each change of state gets a log line of its own.
-// If a whole fleet starts at once, hundreds of them would displace other lines.
-const linesMost = 8
+// maxStateChangeLines is the number of routers up to which each change of state gets a log line
+// of its own. If a whole fleet starts at once, hundreds of them would displace other lines.
+const maxStateChangeLines = 8
 
-// logBeliefs logs the routers that have become alive, suspected or gone.
-func (g *Gateway) logBeliefs(list []message.RouterRecord) {
-	if len(list) > linesMost {
+// logStateChanges logs the routers that have become alive, suspected or gone.
+func (g *Gateway) logStateChanges(list []message.RouterRecord) {
+	if len(list) > maxStateChangeLines {
 		count := map[string]int{}
 		for _, r := range list {
 			count[r.State.String()]++
@@ -126,23 +126,23 @@
 	r := s.Report(now)
 	serving := g.roster.Serving(now)
 	to := serving
-	summed := len(serving) > meshMost
-	if summed {
-		to = inZone(serving, g.known.Zone)
+	useSums := len(serving) > maxMeshPeers
+	if useSums {
+		to = inZone(serving, g.self.Zone)
 	}
-	if r.Active() || g.reporter.serving {
-		own := g.describe(r)
-		g.peers.SendAll(members(to), own)
-		g.zone.UpdateReport(now, g.known.ID, own)
+	if r.Active() || g.reporter.active {
+		status := g.statusOf(r)
+		g.peers.SendAll(members(to), status)
+		g.zone.UpdateReport(now, g.self.ID, status)
 	}
-	if summed && g.relays(serving) {
-		g.tellSum(now, serving)
+	if useSums && g.isRelay(serving) {
+		g.sendSum(now, serving)
 	} else {
 		g.zone.DiscardParts()
 	}
 	period := max(reportPeriod, periodPerPeer*time.Duration(len(to)))
-	g.reporter.due, g.reporter.serving = now.Add(period), r.Active()
-	if summed {
+	g.reporter.due, g.reporter.active = now.Add(period), r.Active()
+	if useSums {
 		// Reports of another zone pass through two routers, each of which sends at its own
 		// interval.
 		period += sumPeriod
@@ -151,10 +151,10 @@
 	s.SetPeers(g.roster.CountOthers(now), len(serving))
 }
 
-// relays reports whether this router is the relay of its zone, which sends the zone's sum. A
+// isRelay reports whether this router is the relay of its zone, which sends the zone's sum. A
 // router that does not serve is not in the others' lists, so it would be relay only in its own
 // view.
-func (g *Gateway) relays(serving []message.RouterRecord) bool {
+func (g *Gateway) isRelay(serving []message.RouterRecord) bool {
 	self := g.roster.Self()
 	if !self.Serving {
 		return false
@@ -163,50 +163,50 @@
 	return ok && first.ID == self.ID
 }
 
-// tellSum sends the sum of this zone to the relay of each other zone if it is due.
-func (g *Gateway) tellSum(now time.Time, serving []message.RouterRecord) {
+// sendSum sends the sum of this zone to the relay of each other zone if it is due.
+func (g *Gateway) sendSum(now time.Time, serving []message.RouterRecord) {
 	if now.Before(g.reporter.sumDue) {
 		return
 	}
 	g.reporter.sumDue = now.Add(sumPeriod)
 	sum := g.zone.Take(now)
 	sum.Revisions = g.catalog.Newest()
-	told := map[string]bool{g.known.Zone: true}
+	sent := map[string]bool{g.self.Zone: true}
 	for _, r := range serving {
-		if told[r.Zone] {
+		if sent[r.Zone] {
 			continue
 		}
-		told[r.Zone] = true
+		sent[r.Zone] = true
 		if to, ok := zonesum.SelectRelay(r.Zone, serving); ok {
-			g.peers.Send(roster.Member(to), message.ZoneStatus{Zone: g.known.Zone, Status: sum})
+			g.peers.Send(roster.Member(to), message.ZoneStatus{Zone: g.self.Zone, Status: sum})
 		}
 	}
 }
 
-// heardZone applies the sum of another zone, which replaces the direct reports of that zone's
-// routers. If the message comes from another zone, this router is its relay and forwards it to
-// the routers of its own zone.
-func (g *Gateway) heardZone(s *balance.State, now time.Time, from member.Member, m message.ZoneStatus) {
-	if m.Zone == g.known.Zone {
+// handleZoneStatus applies the sum of another zone, which replaces the direct reports of that
+// zone's routers. If the message comes from another zone, this router is the relay of its own
+// zone and forwards it to the other routers there.
+func (g *Gateway) handleZoneStatus(s *balance.State, now time.Time, from member.Member, m message.ZoneStatus) {
+	if m.Zone == g.self.Zone {
 		return
 	}
-	g.sums[m.Zone] = now
-	for id, zone := range g.direct {
+	g.lastSums[m.Zone] = now
+	for id, zone := range g.directZones {
 		if zone == m.Zone {
 			s.ForgetPeer(now, string(id))
-			delete(g.direct, id)
+			delete(g.directZones, id)
 		}
 	}
-	s.ApplyReport(now, sumName(m.Zone), reportOf(m.Status))
-	g.catchUp(now, from, m.Status.Revisions)
-	if from.Zone != g.known.Zone {
+	s.ApplyReport(now, sumPeerName(m.Zone), reportOf(m.Status))
+	g.requestNewer(now, from, m.Status.Revisions)
+	if from.Zone != g.self.Zone {
 		m.Status.Revisions = g.catalog.Newest()
-		g.peers.SendAll(members(inZone(g.roster.Serving(now), g.known.Zone)), m)
+		g.peers.SendAll(members(inZone(g.roster.Serving(now), g.self.Zone)), m)
 	}
 }
 
-// sumName returns the name under which a zone's sum is stored among the routers' reports.
-func sumName(zone string) string { return "zone " + zone }
+// sumPeerName returns the name under which a zone's sum is stored among the routers' reports.
+func sumPeerName(zone string) string { return "zone " + zone }
 
 // inZone returns the routers of a list that are in a zone.
 func inZone(list []message.RouterRecord, zone string) []message.RouterRecord {
@@ -227,39 +227,39 @@
 	return out
 }
 
-// say updates this router's own record in the roster.
-func (g *Gateway) say() {
+// updateSelf updates this router's own record in the roster.
+func (g *Gateway) updateSelf() {
 	g.roster.UpdateSelf(message.RouterRecord{
-		Ready: g.server.Ready(), Leaving: g.leaving, Serving: g.reporter.serving,
-		StoreTrouble: !g.trouble.IsZero(), Capacity: g.Capacity,
+		Ready: g.server.Ready(), Leaving: g.leaving, Serving: g.reporter.active,
+		StoreTrouble: !g.storeFailingSince.IsZero(), Capacity: g.Capacity,
 	})
-	g.roster.SetRevisions(g.catalog.Newest(), g.isolation.state.Digest())
+	g.roster.SetRevisions(g.catalog.Newest(), g.quarantine.state.Digest())
 }
 
-// spread gossips this router's current record and revisions to some other routers at once,
-// without waiting for the next beat.
-func (g *Gateway) spread(now time.Time) {
-	g.say()
-	g.send(g.roster.Gossip(now))
+// gossip sends this router's current record and revisions to some other routers at once,
+// without waiting for the next tick.
+func (g *Gateway) gossip(now time.Time) {
+	g.updateSelf()
+	g.sendPings(g.roster.Gossip(now))
 }
 
-// send sends the roster's outgoing pings.
-func (g *Gateway) send(list []roster.Outgoing) {
+// sendPings sends the roster's outgoing pings.
+func (g *Gateway) sendPings(list []roster.Outgoing) {
 	for _, s := range list {
-		g.tell(member.Member{Peer: s.Peer}, s.Ping)
+		g.sendTo(member.Member{Peer: s.Peer}, s.Ping)
 	}
 }
 
-// tell sends a message to another router: as a datagram, or on a stream if the message is too
+// sendTo sends a message to another router: as a datagram, or on a stream if the message is too
 // large for one.
-func (g *Gateway) tell(to member.Member, m message.Message) {
+func (g *Gateway) sendTo(to member.Member, m message.Message) {
 	if !g.datagrams.Send(to, m) {
 		g.peers.Send(to, m)
 	}
 }
 
-// describe converts a report into a message.
-func (g *Gateway) describe(r view.Report) message.Status {
+// statusOf converts a report into a message.
+func (g *Gateway) statusOf(r view.Report) message.Status {
 	m := message.Status{Revisions: g.catalog.Newest()}
 	for id, l := range r.Loads {
 		m.Loads = append(m.Loads, targetLoad(id, l))
@@ -277,11 +277,11 @@
 	return message.TargetLoad{Target: id, PendingTokens: l.PendingTokens, Running: l.Running, MemoryTokens: l.MemoryTokens}
 }
 
-// tellLoad sends the serving routers, without waiting for the next report, the load that this
+// sendLoad sends the serving routers, without waiting for the next report, the load that this
 // router's requests put on a target, and the part that the latest request added.
-func (g *Gateway) tellLoad(target string, now, added view.Load) {
+func (g *Gateway) sendLoad(target string, now, added view.Load) {
 	m := message.Loads{Loads: []message.TargetLoad{targetLoad(target, now)}, Deltas: []message.TargetLoad{targetLoad(target, added)}}
 	for _, to := range g.roster.Serving(clock.Now()) {
-		g.tell(roster.Member(to), m)
+		g.sendTo(roster.Member(to), m)
 	}
 }
--- a/internal/gateway/report_test.go
+++ b/internal/gateway/report_test.go
@@ -30,33 +30,33 @@
 }
 
 // newFakeRouter returns a fake router that sends nothing by itself.
-func newFakeRouter() *fakeRouter { return newFakeIn("fake", "z") }
+func newFakeRouter() *fakeRouter { return newFakeRouterIn("fake", "z") }
 
-// newFakeIn returns a fake router with the given name and availability zone.
-func newFakeIn(name message.RouterID, zone string) *fakeRouter {
+// newFakeRouterIn returns a fake router with the given name and availability zone.
+func newFakeRouterIn(name message.RouterID, zone string) *fakeRouter {
 	l, conn, err := peer.Listen("127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	f := &fakeRouter{self: message.RouterRecord{
 		ID: name, Zone: zone, Peer: l.Addr().String(), Incarnation: 1, Ready: true,
 	}}
 	self := member.Member{ID: f.self.ID, Zone: f.self.Zone, Peer: f.self.Peer, Incarnation: f.self.Incarnation}
-	f.streams = peer.New(context.Background(), self, l, f.take, logr.Discard())
+	f.streams = peer.New(context.Background(), self, l, f.receive, logr.Discard())
 	DeferCleanup(f.streams.Stop)
-	f.datagrams = peer.NewDatagrams(context.Background(), self, conn, f.take, logr.Discard())
+	f.datagrams = peer.NewDatagrams(context.Background(), self, conn, f.receive, logr.Discard())
 	DeferCleanup(f.datagrams.Stop)
 	return f
 }
 
-// say sends a ping to a router that announces the fake router and whether it serves callers, and
+// ping sends a ping to a router that announces the fake router and whether it serves callers, and
 // requests a reply.
-func (f *fakeRouter) say(to *rig, serving bool) {
+func (f *fakeRouter) ping(to *rig, serving bool) {
 	f.self.Version++
 	f.self.Serving = serving
 	sent := f.datagrams.Send(to.Known(), message.Ping{From: f.self, Kind: message.PingRequest})
 	Expect(sent).To(BeTrue())
 }
 
-func (f *fakeRouter) take(_ member.Member, m message.Message) {
+func (f *fakeRouter) receive(_ member.Member, m message.Message) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch m := m.(type) {
@@ -71,26 +71,26 @@
 	}
 }
 
-func (f *fakeRouter) told() []message.TargetLoad {
+func (f *fakeRouter) loadUpdates() []message.TargetLoad {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.loads
 }
 
-func (f *fakeRouter) heard() message.RouterRecord {
+func (f *fakeRouter) lastRecord() message.RouterRecord {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.last
 }
 
-func (f *fakeRouter) reported() []message.TargetLoad {
+func (f *fakeRouter) reportedLoads() []message.TargetLoad {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.report.Loads
 }
 
-// summed returns the zone and the loads of the last sum received.
-func (f *fakeRouter) summed() (string, []message.TargetLoad) {
+// lastSum returns the zone and the loads of the last sum received.
+func (f *fakeRouter) lastSum() (string, []message.TargetLoad) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sum.Zone, f.sum.Status.Loads
@@ -101,8 +101,8 @@
 	fakes := func(zone string, n int, to *rig) []*fakeRouter {
 		var list []*fakeRouter
 		for i := range n {
-			f := newFakeIn(message.RouterID(fmt.Sprint(zone, i)), zone)
-			f.say(to, true)
+			f := newFakeRouterIn(message.RouterID(fmt.Sprint(zone, i)), zone)
+			f.ping(to, true)
 			list = append(list, f)
 		}
 		return list
@@ -122,7 +122,7 @@
 		sums := func() int {
 			n := 0
 			for _, f := range far {
-				if zone, loads := f.summed(); zone == "z" && len(loads) == 1 && loads[0].Running == 1 {
+				if zone, loads := f.lastSum(); zone == "z" && len(loads) == 1 && loads[0].Running == 1 {
 					n++
 				}
 			}
@@ -136,10 +136,10 @@
 		r := newRig()
 		r.configure(spec(1))
 		far := fakes("y", 20, r)
-		Eventually(func() bool { return far[19].heard().Ready }).Should(BeTrue())
+		Eventually(func() bool { return far[19].lastRecord().Ready }).Should(BeTrue())
 		Consistently(func() string {
 			for _, f := range far {
-				if zone, _ := f.summed(); zone != "" {
+				if zone, _ := f.lastSum(); zone != "" {
 					return zone
 				}
 			}
@@ -155,13 +155,13 @@
 		r.serve("t", answer)
 		near, far := fakes("z", 2, r), fakes("y", 20, r)
 		full := message.ZoneStatus{Zone: "y", Status: message.Status{Loads: []message.TargetLoad{{Target: "t", Running: 4}}}}
-		say := func() int {
+		sendFullZone := func() int {
 			far[7].streams.Send(r.Known(), full)
 			return r.post("/many/x").Status
 		}
-		Eventually(say).Should(Equal(http.StatusServiceUnavailable))
+		Eventually(sendFullZone).Should(Equal(http.StatusServiceUnavailable))
 		for _, f := range near {
-			Eventually(func() string { zone, _ := f.summed(); return zone }).Should(Equal("y"))
+			Eventually(func() string { zone, _ := f.lastSum(); return zone }).Should(Equal("y"))
 		}
 		Eventually(func() int { return r.post("/many/x").Status }, "4s").Should(Equal(http.StatusOK))
 	})
@@ -177,15 +177,15 @@
 			answer(w, req)
 		})
 		other := newFakeRouter()
-		other.say(r, false)
-		Eventually(func() bool { return other.heard().Ready }).Should(BeTrue())
-		Expect(other.heard().Serving).To(BeFalse())
+		other.ping(r, false)
+		Eventually(func() bool { return other.lastRecord().Ready }).Should(BeTrue())
+		Expect(other.lastRecord().Serving).To(BeFalse())
 		background(func() { r.post("/many/x") })
 		DeferCleanup(func() { close(release) })
-		Eventually(func() bool { return other.heard().Serving }).Should(BeTrue())
-		Expect(other.reported()).To(BeEmpty())
-		other.say(r, true)
-		Eventually(other.reported).Should(ConsistOf(
+		Eventually(func() bool { return other.lastRecord().Serving }).Should(BeTrue())
+		Expect(other.reportedLoads()).To(BeEmpty())
+		other.ping(r, true)
+		Eventually(other.reportedLoads).Should(ConsistOf(
 			message.TargetLoad{Target: "t", Running: 1},
 		))
 	})
@@ -203,15 +203,15 @@
 		})
 		DeferCleanup(func() { close(release) })
 		other := newFakeRouter()
-		other.say(r, true)
-		Eventually(func() bool { return other.heard().Ready }).Should(BeTrue())
+		other.ping(r, true)
+		Eventually(func() bool { return other.lastRecord().Ready }).Should(BeTrue())
 		for _, size := range []string{"50,10", "5000,10"} {
 			q := newRequest(r.Known().Address, "/many/x")
 			q.Header.Set(dialect.PromptSize, size)
 			background(func() { do(q) })
 			Eventually(came).Should(Receive())
 		}
-		Eventually(other.told).Should(ConsistOf(
+		Eventually(other.loadUpdates).Should(ConsistOf(
 			message.TargetLoad{Target: "t", PendingTokens: 5050, Running: 2, MemoryTokens: 5070},
 		))
 	})
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -26,16 +26,16 @@
 	}
 }
 
-// waitGone waits until a request's caller has disconnected, which the server detects only after
-// the body has been read.
-func waitGone(q *http.Request) {
+// waitDisconnected waits until a request's caller has disconnected, which the server detects only
+// after the body has been read.
+func waitDisconnected(q *http.Request) {
 	if _, err := io.Copy(io.Discard, q.Body); err == nil {
 		<-q.Context().Done()
 	}
 }
 
-// counted returns a handler that calls h and counts the calls in n.
-func counted(n *atomic.Int64, h http.HandlerFunc) http.HandlerFunc {
+// countCalls returns a handler that calls h and counts the calls in n.
+func countCalls(n *atomic.Int64, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		n.Add(1)
 		h(w, r)
@@ -57,36 +57,36 @@
 		c := spec(1)
 		c.Services[0].Engine = &routing.Engine{Slots: 4, CacheTokens: 230_000}
 		r.configure(c)
-		type told struct{ target, source string }
-		seen := make(chan told, 3)
+		type received struct{ target, source string }
+		seen := make(chan received, 3)
 		release := make(chan struct{})
 		addresses := map[string]string{}
 		for _, id := range []string{"a", "b"} {
 			addresses[id] = r.serve(id, func(w http.ResponseWriter, q *http.Request) {
-				seen <- told{id, q.Header.Get(dialect.FetchFrom)}
+				seen <- received{id, q.Header.Get(dialect.FetchFrom)}
 				<-release
 				answer(w, q)
 			})
 		}
 		defer close(release)
-		ask := func() told {
+		send := func() received {
 			q := newRequest(r.Known().Address, "/many/x")
 			q.Header.Set(dialect.PromptSize, "6100,10")
 			q.Header.Set(dialect.PromptParts, "shared:6000,own:100")
 			q.Header.Set(dialect.FetchFrom, "192.0.2.1:1")
 			background(func() { do(q) })
-			var t told
+			var t received
 			Eventually(seen).Should(Receive(&t))
 			return t
 		}
 		// The router leaves two of the four slots free, so that the third request goes to the
 		// other engine.
-		home := ask()
-		Expect(home.source).To(BeEmpty())
-		Expect(ask()).To(Equal(home))
-		away := ask()
-		Expect(away.target).NotTo(Equal(home.target))
-		Expect(away.source).To(Equal(addresses[home.target]))
+		first := send()
+		Expect(first.source).To(BeEmpty())
+		Expect(send()).To(Equal(first))
+		third := send()
+		Expect(third.target).NotTo(Equal(first.target))
+		Expect(third.source).To(Equal(addresses[first.target]))
 	})
 
 	It("reaches its target as the caller sent it, except for hop-by-hop and reserved headers", func() {
@@ -197,7 +197,7 @@
 	It("that must not be repeated is sent once, and gets an error if its response is lost", func() {
 		r.configure(spec(1))
 		var runs atomic.Int64
-		lose := counted(&runs, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+		lose := countCalls(&runs, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		r.serve("a", lose)
 		r.serve("b", lose)
 		Expect(r.post("/once/x").Status).To(Equal(http.StatusBadGateway))
@@ -232,16 +232,16 @@
 			c.Routes[i].Timeout = 200 * time.Millisecond
 		}
 		r.configure(c)
-		r.serve("t", func(_ http.ResponseWriter, q *http.Request) { waitGone(q) })
+		r.serve("t", func(_ http.ResponseWriter, q *http.Request) { waitDisconnected(q) })
 		Expect(r.post("/once/x").Status).To(Equal(http.StatusGatewayTimeout))
 	})
 
 	It("is cancelled at its target when its caller disconnects", func() {
 		r.configure(spec(1))
-		begun, gone := make(chan bool, 1), make(chan bool, 1)
+		started, gone := make(chan bool, 1), make(chan bool, 1)
 		r.serve("t", func(_ http.ResponseWriter, q *http.Request) {
 			_, err := io.ReadAll(q.Body)
-			begun <- err == nil
+			started <- err == nil
 			<-q.Context().Done()
 			gone <- true
 		})
@@ -249,7 +249,7 @@
 		defer cancel()
 		ended := make(chan reply, 1)
 		background(func() { ended <- do(newRequest(r.Known().Address, "/many/x").WithContext(ctx)) })
-		Eventually(begun).Should(Receive())
+		Eventually(started).Should(Receive())
 		cancel()
 		Eventually(gone).Should(Receive())
 		Expect((<-ended).Err).To(HaveOccurred())
@@ -294,7 +294,7 @@
 		r.serve("breaks", streamer(10, 4, 0))
 		r.serve("whole", streamer(10, 10, 0))
 		for range 6 {
-			Expect(r.post("/stream/x")).To(And(HaveField("Body", whole(10)), HaveField("Err", BeNil())))
+			Expect(r.post("/stream/x")).To(And(HaveField("Body", fullStream(10)), HaveField("Err", BeNil())))
 		}
 	})
 
@@ -303,7 +303,7 @@
 		r.serve("too", streamer(10, 4, 0))
 		got := r.post("/single/x")
 		Expect(got.Err).To(HaveOccurred())
-		Expect(got.Body).To(Equal(whole(4)))
+		Expect(got.Body).To(Equal(fullStream(4)))
 	})
 
 	It("is resumed at another engine when its engine sends nothing for too long", func() {
@@ -318,7 +318,7 @@
 		})
 		r.serve("whole", streamer(5, 5, 0))
 		for range 3 {
-			Expect(r.post("/stream/x")).To(And(HaveField("Body", whole(5)), HaveField("Err", BeNil())))
+			Expect(r.post("/stream/x")).To(And(HaveField("Body", fullStream(5)), HaveField("Err", BeNil())))
 		}
 	})
 
@@ -334,7 +334,7 @@
 		}
 		r.serve("a", slow)
 		r.serve("b", slow)
-		Expect(r.post("/stream/x")).To(And(HaveField("Body", whole(3)), HaveField("Err", BeNil())))
+		Expect(r.post("/stream/x")).To(And(HaveField("Body", fullStream(3)), HaveField("Err", BeNil())))
 	})
 
 	It("forwards events as they come", func() {
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -14,8 +14,8 @@
 	"github.com/stepcroft/stepcroft/internal/forward"
 )
 
-// startAgain replaces the entry of the first target by one of a new process.
-func (r *rig) startAgain(born int64, address string) {
+// restart replaces the entry of the first target by one of a new process.
+func (r *rig) restart(born int64, address string) {
 	r.revision++
 	t := balance.Target{ID: r.targets[0].Name, Service: "s", Address: address, Zone: "z", Slots: 4, Born: born}
 	r.targets[0] = stored(r.revision, t)
@@ -23,9 +23,9 @@
 }
 
 var _ = Describe("A target that restarts under its id", func() {
-	// mute returns a target's connection handler that sends the first two events of a stream
-	// and then nothing more.
-	mute := func(began chan<- struct{}) func(net.Conn) {
+	// stallingStream returns a target's connection handler that sends the first two events of a
+	// stream and then nothing more.
+	stallingStream := func(began chan<- struct{}) func(net.Conn) {
 		return func(c net.Conn) {
 			buffer := make([]byte, 4096)
 			if _, err := c.Read(buffer); err != nil {
@@ -45,28 +45,28 @@
 		r := newRig()
 		r.configure(spec(1))
 		began := make(chan struct{}, 1)
-		r.raw("a", mute(began))
+		r.serveConns("a", stallingStream(began))
 		got := make(chan reply, 1)
 		background(func() { got <- r.post("/stream/x") })
 		Eventually(began).Should(Receive())
 		r.serve("b", streamer(5, 5, 0))
-		r.startAgain(2, "127.0.0.1:1")
+		r.restart(2, "127.0.0.1:1")
 		var answer reply
 		Eventually(got).WithTimeout(4 * time.Second).Should(Receive(&answer))
 		Expect(answer.Err).NotTo(HaveOccurred())
-		Expect(answer.Body).To(Equal(whole(5)))
+		Expect(answer.Body).To(Equal(fullStream(5)))
 		// The stream was resumed because of the restart, not after the longest pause between
 		// events.
-		figures := httptest.NewRecorder()
-		r.metrics.ServeHTTP(figures, nil)
-		Expect(figures.Body.String()).To(ContainSubstring(`"retries": {"target-restarted": 1`))
+		metrics := httptest.NewRecorder()
+		r.metrics.ServeHTTP(metrics, nil)
+		Expect(metrics.Body.String()).To(ContainSubstring(`"retries": {"target-restarted": 1`))
 	})
 
 	It("fails a request that may run only once, with the restart as the reason", func() {
 		r := newRig()
 		r.configure(spec(1))
 		began := make(chan struct{}, 1)
-		r.raw("a", func(c net.Conn) {
+		r.serveConns("a", func(c net.Conn) {
 			buffer := make([]byte, 4096)
 			if _, err := c.Read(buffer); err == nil {
 				began <- struct{}{}
@@ -77,10 +77,10 @@
 		background(func() { got <- r.post("/once/x") })
 		Eventually(began).Should(Receive())
 		r.serve("b", answer)
-		r.startAgain(2, "127.0.0.1:1")
-		var told reply
-		Eventually(got).WithTimeout(4 * time.Second).Should(Receive(&told))
-		Expect(told.Status).To(Equal(http.StatusBadGateway))
-		Expect(told.Body).To(ContainSubstring(string(forward.ReasonRestarted)))
+		r.restart(2, "127.0.0.1:1")
+		var rejected reply
+		Eventually(got).WithTimeout(4 * time.Second).Should(Receive(&rejected))
+		Expect(rejected.Status).To(Equal(http.StatusBadGateway))
+		Expect(rejected.Body).To(ContainSubstring(string(forward.ReasonRestarted)))
 	})
 })
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -9,11 +9,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// limitOfStop is the time limit of planned stops in these tests.
-const limitOfStop = 1600 * time.Millisecond
+// stopLimit is the time limit of planned stops in these tests.
+const stopLimit = 1600 * time.Millisecond
 
 var _ = Describe("A planned stop", func() {
-	const limit = limitOfStop
+	const limit = stopLimit
 
 	It("waits for a stream that began before it", func() {
 		r := newRig()
@@ -23,7 +23,7 @@
 		background(func() { got <- r.post("/stream/x") })
 		time.Sleep(100 * time.Millisecond)
 		r.Drain(context.Background(), limit)
-		Expect(<-got).To(And(HaveField("Err", BeNil()), HaveField("Body", whole(10))))
+		Expect(<-got).To(And(HaveField("Err", BeNil()), HaveField("Body", fullStream(10))))
 	})
 
 	It("rejects requests that may not end in time", func() {
--- a/internal/gateway/streams_test.go
+++ b/internal/gateway/streams_test.go
@@ -88,7 +88,7 @@
 			for b.Loop() {
 				var wait sync.WaitGroup
 				for i := range streams {
-					wait.Go(func() { askStream(b, g.Known().Address, i) })
+					wait.Go(func() { readStream(b, g.Known().Address, i) })
 				}
 				wait.Wait()
 			}
@@ -99,7 +99,7 @@
 	}
 }
 
-func askStream(b *testing.B, address string, id int) {
+func readStream(b *testing.B, address string, id int) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		b.Error(err)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// watchers is the number of routers that watch the store, of those that reach it. Calls to
+	// watcherCount is the number of routers that watch the store, of those that reach it. Calls to
 	// the store are billed, and the other routers get updates from the watchers within
 	// milliseconds. With three, updates are late only if all of them fail at once.
-	watchers = 3
-	// settleTime is how long a router that has just started waits for the store's contents
+	watcherCount = 3
+	// maxSettleDelay is how long a router that has just started waits for the store's contents
 	// from other routers before it calls the store. If all routers have just started, none can
-	// supply them. Therefore one that lacks the configuration or the targets waits for a
-	// random time from settleLeast to settleTime, so that one of them calls the store soon and
+	// supply them. Therefore one that lacks the configuration or the targets waits for a random
+	// time from minSettleDelay to maxSettleDelay, so that one of them calls the store soon and
 	// updates the others.
-	settleTime  = 300 * time.Millisecond
-	settleLeast = 20 * time.Millisecond
-	// firstAskers is the approximate number of routers that call the store regardless of
+	maxSettleDelay = 300 * time.Millisecond
+	minSettleDelay = 20 * time.Millisecond
+	// startupWatchers is the approximate number of routers that call the store regardless of
 	// their rank if all have just started, since those that rank first may start last. With
 	// them, callers are served again 0.5 s after all of 33 routers were killed and 2.0 s after
 	// all of 101 were; without them, after 1.0 s and 2.5 s (one run of a day at each size, to
 	// the nearest 0.5 s).
-	firstAskers = 6
+	startupWatchers = 6
 )
 
-// settles returns a random delay after which a router without a copy of the store's contents may
-// call the store.
-func settles() time.Duration { return settleLeast + rand.N(settleTime-settleLeast) }
+// randomSettleDelay returns a random delay after which a router without a copy of the store's
+// contents may call the store.
+func randomSettleDelay() time.Duration { return minSettleDelay + rand.N(maxSettleDelay-minSettleDelay) }
 
 // StoreTrouble records that a call to the store failed.
 func (g *Gateway) StoreTrouble() {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
 		g.catalog.MarkUnstable(now)
-		if g.trouble.IsZero() {
-			g.trouble = now
-			g.spread(now)
+		if g.storeFailingSince.IsZero() {
+			g.storeFailingSince = now
+			g.gossip(now)
 		}
 	})
 }
@@ -57,9 +57,9 @@
 func (g *Gateway) StoreCameBackOlder(era int64) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
 		g.catalog.MarkUnstable(now)
-		if era > g.era {
-			g.era = era
-			g.keep(g.isolation.exchange.All(now))
+		if era > g.persistedEra {
+			g.persistedEra = era
+			g.persist(g.quarantine.exchange.All(now))
 		}
 	})
 }
@@ -76,9 +76,9 @@
 // StoreWorks records that calls to the store succeed.
 func (g *Gateway) StoreWorks() {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
-		if !g.trouble.IsZero() {
-			g.trouble = time.Time{}
-			g.spread(now)
+		if !g.storeFailingSince.IsZero() {
+			g.storeFailingSince = time.Time{}
+			g.gossip(now)
 		}
 	})
 }
@@ -89,35 +89,35 @@
 func (g *Gateway) Watches(ctx context.Context) bool {
 	watches := true
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
-		wait := settleTime
-		ignorant := g.catalog.Table() == nil || g.catalog.TargetsRevision() == 0
-		if ignorant {
-			wait = g.settle
+		wait := maxSettleDelay
+		uninformed := g.catalog.Table() == nil || g.catalog.TargetsRevision() == 0
+		if uninformed {
+			wait = g.settleDelay
 		}
 		if now.Sub(g.started) < wait {
 			watches = false
 			return
 		}
-		live, reaching := g.standing(), g.standing()
+		live, reaching := g.newStoreRank(), g.newStoreRank()
 		running := 0
-		for r := range g.running(now) {
+		for r := range g.runningRouters(now) {
 			running++
 			live.Add(r.ID, r.Zone)
 			if !r.StoreTrouble {
 				reaching.Add(r.ID, r.Zone)
 			}
 		}
-		first := ignorant && g.lot*float64(running) < firstAskers
-		reaches := g.trouble.IsZero() && !g.leaving
-		watches = first || reaches && reaching.InTop(watchers) || !g.leaving && live.InTop(watchers)
+		startup := uninformed && g.startupDraw*float64(running) < startupWatchers
+		reaches := g.storeFailingSince.IsZero() && !g.leaving
+		watches = startup || reaches && reaching.InTop(watcherCount) || !g.leaving && live.InTop(watcherCount)
 	})
 	return watches
 }
 
-// standing returns a counter for this router's rank among the candidates for watching the store,
-// to which the other candidates are still to be added.
-func (g *Gateway) standing() *member.RankCounter {
-	return member.NewRankCounter("store", g.known.ID, g.known.Zone)
+// newStoreRank returns a counter for this router's rank among the candidates for watching the
+// store, to which the other candidates are still to be added.
+func (g *Gateway) newStoreRank() *member.RankCounter {
+	return member.NewRankCounter("store", g.self.ID, g.self.Zone)
 }
 
 // OthersWatch reports whether, as far as known, another running router reaches the store, so that
@@ -125,17 +125,18 @@
 func (g *Gateway) OthersWatch(ctx context.Context) bool {
 	watch := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
-		for r := range g.running(now) {
-			watch = watch || r.ID != g.known.ID && !r.StoreTrouble
+		for r := range g.runningRouters(now) {
+			watch = watch || r.ID != g.self.ID && !r.StoreTrouble
 		}
 	})
 	return watch
 }
 
-// running returns the routers that are running and not leaving, this one included. A suspected
-// router is left out, so that the next in rank replaces it at once. Waiting until it is certainly
-// gone would take 1.5 s more of the two seconds in which a configuration has to be in force.
-func (g *Gateway) running(now time.Time) iter.Seq[message.RouterRecord] {
+// runningRouters returns the routers that are running and not leaving, this one included. A
+// suspected router is left out, so that the next in rank replaces it at once. Waiting until it is
+// certainly gone would take 1.5 s more of the two seconds in which a configuration has to be in
+// force.
+func (g *Gateway) runningRouters(now time.Time) iter.Seq[message.RouterRecord] {
 	return func(yield func(message.RouterRecord) bool) {
 		for r := range g.roster.Each(now) {
 			if r.State == message.Alive && !yield(r) {
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -21,19 +21,19 @@
 // coldTargets holds the number of cold targets by service, and how often one was skipped for
 // being cold since the router started.
 type coldTargets struct {
-	count map[string]int
-	held  int64
+	count   map[string]int
+	skipped int64
 }
 
 // SetZones replaces the drained availability zones with the store's complete list.
 func (g *Gateway) SetZones(at int64, list []message.StoredObject) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
 		changed := g.catalog.SetZones(now, at, list)
-		g.targetsChanged(s, now, changed, fromStore)
+		g.targetsChanged(s, now, changed, sourceStore)
 		if !changed {
 			// The revision may have changed even if the list has not, for instance if it
 			// is empty: the other routers need to know that revision.
-			g.spread(now)
+			g.gossip(now)
 		}
 	})
 }
@@ -41,7 +41,7 @@
 // ChangeZones applies changes to the store's list of drained availability zones.
 func (g *Gateway) ChangeZones(at int64, changes []catalog.Change) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
-		g.targetsChanged(s, now, g.catalog.ApplyZones(at, changes), fromStore)
+		g.targetsChanged(s, now, g.catalog.ApplyZones(at, changes), sourceStore)
 	})
 }
 
@@ -49,7 +49,7 @@
 // requests, operators first look up when each router learned that it was drained.
 func (g *Gateway) logZones(now time.Time, list []balance.Target, from string) {
 	drained := g.catalog.DrainedZones()
-	if slices.Equal(drained, g.drained.zones) {
+	if slices.Equal(drained, g.loggedDrained.zones) {
 		return
 	}
 	targets := map[string]int{}
@@ -62,21 +62,21 @@
 		}
 	}
 	// A count of 0 shows a zone whose name is unknown, or that has no targets.
-	g.Log.Info("zones drained", "targets", targets, "before", g.drained.zones, "era", revision.Era(g.catalog.Newest().Zones), "revision", revision.Store(g.catalog.Newest().Zones),
-		"before_ms", now.Sub(g.drained.since).Milliseconds(), "from", from)
+	g.Log.Info("zones drained", "targets", targets, "before", g.loggedDrained.zones, "era", revision.Era(g.catalog.Newest().Zones), "revision", revision.Store(g.catalog.Newest().Zones),
+		"before_ms", now.Sub(g.loggedDrained.since).Milliseconds(), "from", from)
 	g.Metrics.setZones(drained)
-	g.drained = drainedZones{zones: drained, since: now}
+	g.loggedDrained = drainedZones{zones: drained, since: now}
 }
 
 // logCold logs the number of cold targets by service if it has changed.
 func (g *Gateway) logCold(s *balance.State, now time.Time) {
-	count, held := s.ColdTargets(now)
-	if held != g.coldNow.held {
-		g.Metrics.coldHeld.Set(held)
+	count, skipped := s.ColdTargets(now)
+	if skipped != g.loggedCold.skipped {
+		g.Metrics.coldSkipped.Set(skipped)
 	}
-	if !maps.Equal(count, g.coldNow.count) {
-		g.Log.Info("targets cold", "count", count, "before", g.coldNow.count, "passed_over", held-g.coldNow.held)
+	if !maps.Equal(count, g.loggedCold.count) {
+		g.Log.Info("targets cold", "count", count, "before", g.loggedCold.count, "passed_over", skipped-g.loggedCold.skipped)
 		g.Metrics.setCold(count)
-		g.coldNow = coldTargets{count: count, held: held}
+		g.loggedCold = coldTargets{count: count, skipped: skipped}
 	}
 }
