--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -61,7 +61,7 @@
 		add(config.KindBox, name, config.Box{Name: name, Role: config.RoleRouter, Zone: fmt.Sprint(i % 11), Address: name, Peer: name})
 	}
 	now := time.Unix(1000, 0)
-	snapshot := config.Snapshot{}.WithAll(objects, func(_ port.Object, err error) { b.Fatal(err) })
+	snapshot := config.Snapshot{}.WithObjects(objects, func(_ port.Object, err error) { b.Fatal(err) })
 	s := control.New(control.Options{
 		Self: member.Member{ID: "r0", Zone: "0", Peer: "r0", Incarnation: 1}, ReportPeriod: time.Second, RouterTimeout: time.Hour, MaxWaiting: 1 << 20,
 	}, discard{}, rand.New(rand.NewPCG(1, 1)), now)
@@ -96,7 +96,7 @@
 }
 
 func ticket(organisation, n int, now time.Time) *request.Ticket {
-	return request.NewTicket(request.Spec{
+	return request.NewTicket(request.TicketSpec{
 		ID: request.ID{Router: "r0", Number: uint64(n)}, Organisation: organisationName(organisation),
 		Pool: "p", Arrived: now, Deadline: now.Add(time.Hour),
 	})
@@ -112,7 +112,7 @@
 			for i := 0; b.Loop(); i++ {
 				t := ticket(i%z.backlogged, i, now)
 				s.Arrive(t, now)
-				s.Finish(t, request.End{Cost: 100}, now)
+				s.Finish(t, request.RunEnd{Cost: 100}, now)
 			}
 		})
 	}
--- a/internal/gateway/awake.go
+++ b/internal/gateway/awake.go
@@ -22,7 +22,7 @@
 // its view of the fleet is older by that time, connections may be broken, and API keys may have
 // been revoked.
 func (g *Gateway) resume(_ *balance.State, now time.Time, missed time.Duration) {
-	g.Log.Info("box was suspended", "missed_ms", missed.Milliseconds(), "open", g.server.Open())
+	g.Log.Info("box was suspended", "missed_ms", missed.Milliseconds(), "open", g.server.OpenRequests())
 	g.Metrics.recordSuspension(missed)
 	g.roster.Resume(now)
 	g.coldSenders.Join(now)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -165,7 +165,7 @@
 	if backlog == 0 {
 		return l, nil
 	}
-	if err := sockopt.Backlog(l.(*net.TCPListener), backlog); err != nil {
+	if err := sockopt.SetBacklog(l.(*net.TCPListener), backlog); err != nil {
 		o.Log.Info("accept queue not bounded", "most", backlog, "cause", err.Error())
 	}
 	return l, nil
@@ -245,7 +245,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			g.transport.Sweep(clock.Now())
+			g.transport.CloseExpired(clock.Now())
 		}
 	}
 }
@@ -269,7 +269,7 @@
 // still connect to it. Drain returns when all requests have ended or limit is over.
 func (g *Gateway) Drain(ctx context.Context, limit time.Duration) {
 	began := clock.Now()
-	g.Log.Info("planned stop begins", "open", g.server.Open(), "limit_ms", limit.Milliseconds())
+	g.Log.Info("planned stop begins", "open", g.server.OpenRequests(), "limit_ms", limit.Milliseconds())
 	g.server.Leave()
 	g.loop.Post(func(_ *balance.State, now time.Time) {
 		g.leaving = true
@@ -282,16 +282,16 @@
 	g.server.EndBy(end)
 	g.waitIdle(ctx, end)
 	if err := g.server.Shutdown(ctx); err != nil {
-		g.Log.Info("planned stop cut requests short", "open", g.server.Open(), "cause", err.Error())
+		g.Log.Info("planned stop cut requests short", "open", g.server.OpenRequests(), "cause", err.Error())
 	}
 	g.Log.Info("planned stop is done", "took_ms", clock.Since(began).Milliseconds())
 }
 
 // waitIdle waits until there have been no requests for idleWindow, or until end.
 func (g *Gateway) waitIdle(ctx context.Context, end time.Time) {
-	lastBusy, lastBegun := clock.Now(), g.server.Begun()
+	lastBusy, lastBegun := clock.Now(), g.server.TotalRequests()
 	for clock.Since(lastBusy) < idleWindow && clock.Now().Before(end) {
-		if begun := g.server.Begun(); g.server.Open() > 0 || begun > lastBegun {
+		if begun := g.server.TotalRequests(); g.server.OpenRequests() > 0 || begun > lastBegun {
 			lastBusy, lastBegun = clock.Now(), begun
 		}
 		if !group.SleepUntil(ctx, clock.Now().Add(idleCheckInterval)) {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -91,8 +91,8 @@
 	m.Set("peer_messages", func() any { return g.peers.Stats() })
 	m.Set("peer_datagrams", func() any { return g.datagrams.Stats() })
 	m.Set("processor_part", func() any { return g.loop.CPUUtilisation() })
-	m.Set("turned_away", func() any { return g.server.TurnedAway() })
-	m.Set("open_requests", func() any { return g.server.Open() })
+	m.Set("turned_away", func() any { return g.server.RejectedConnections() })
+	m.Set("open_requests", func() any { return g.server.OpenRequests() })
 }
 
 // CountRetry counts a retry by its reason.
@@ -171,10 +171,10 @@
 // countSuspect counts a change to the record of a suspected request. A request with a single
 // crash may only have run on the target by chance when another one crashed it: it is a bystander.
 func (m *Metrics) countSuspect(r quarantine.Record) {
-	switch n := r.Standing(); {
+	switch n := r.Uncleared(); {
 	case n == 0:
 		m.suspects.Add("cleared", 1)
-	case quarantine.Holds(n):
+	case quarantine.HeldBack(n):
 		m.suspects.Add("held", 1)
 	case n == 1:
 		m.suspects.Add("bystander", 1)
@@ -203,8 +203,8 @@
 	return observer{log: g.Log, logFull: g.LogFull, metrics: g.Metrics, tally: &g.tally}
 }
 
-// Ended implements ingress.Observer.
-func (o observer) Ended(r forward.Request, v forward.Result, took time.Duration) {
+// RequestEnded implements ingress.Observer.
+func (o observer) RequestEnded(r forward.Request, v forward.Result, took time.Duration) {
 	o.metrics.recordRequest(v, took)
 	unlogged := o.logFull != nil && o.logFull()
 	o.tally.add(r, v, unlogged)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -42,8 +42,8 @@
 // Restore adds requests that were held back before this router started.
 func (g *Gateway) Restore(list []quarantine.Record) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
-		news, parcels := g.quarantine.exchange.Heard(now, list)
-		g.publishChanges(news, parcels, sourceStore)
+		changes, outgoing := g.quarantine.exchange.Receive(now, list)
+		g.publishChanges(changes, outgoing, sourceStore)
 	})
 }
 
@@ -62,9 +62,9 @@
 		}
 		name := b.Target.Incarnation()
 		if b.TargetExited {
-			g.quarantine.state.Ended(now, name)
+			g.quarantine.state.RecordExit(now, name)
 		}
-		crashes = g.quarantine.state.Broke(now, b.Key, b.Organisation, name, b.OnTrial)
+		crashes = g.quarantine.state.RecordBreak(now, b.Key, b.Organisation, name, b.OnTrial)
 		g.publishLocalChanges(now)
 	})
 	return crashes
@@ -75,7 +75,7 @@
 func (g suspects) StartTrial(ctx context.Context, k quarantine.Key, until time.Time) bool {
 	may := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
-		may = g.ranksFirst(now, k) && g.quarantine.state.Try(now, k, until)
+		may = g.ranksFirst(now, k) && g.quarantine.state.StartTrial(now, k, until)
 		if may {
 			g.Log.Info("request on trial", "content", k.String())
 		}
@@ -85,14 +85,14 @@
 
 // EndTrial implements forward.Suspects.
 func (g suspects) EndTrial(k quarantine.Key) {
-	g.loop.Post(func(*balance.State, time.Time) { g.quarantine.state.Tried(k) })
+	g.loop.Post(func(*balance.State, time.Time) { g.quarantine.state.EndTrial(k) })
 }
 
 // RecordExit implements forward.Suspects.
 func (g suspects) RecordExit(t balance.Target) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
 		if !g.exitExpected(s, t) {
-			g.quarantine.state.Ended(now, t.Incarnation())
+			g.quarantine.state.RecordExit(now, t.Incarnation())
 			g.publishLocalChanges(now)
 		}
 	})
@@ -109,7 +109,7 @@
 // RecordSeen implements forward.Suspects.
 func (g suspects) RecordSeen(k quarantine.Key) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
-		g.quarantine.state.Seen(now, k)
+		g.quarantine.state.RecordSeen(now, k)
 		g.publishSuspects()
 	})
 }
@@ -138,7 +138,7 @@
 		}
 		born[t.ID] = t.Born
 		if ok {
-			g.quarantine.state.Ended(now, balance.Target{ID: t.ID, Born: known}.Incarnation())
+			g.quarantine.state.RecordExit(now, balance.Target{ID: t.ID, Born: known}.Incarnation())
 		}
 	}
 	g.publishLocalChanges(now)
@@ -150,20 +150,20 @@
 // publishLocalChanges publishes, persists and gossips the changes to suspected requests that
 // arose at this router.
 func (g *Gateway) publishLocalChanges(now time.Time) {
-	news, parcels := g.quarantine.exchange.Found(now)
-	g.publishChanges(news, parcels, g.ID)
-	g.persist(news)
+	changes, outgoing := g.quarantine.exchange.Updates(now)
+	g.publishChanges(changes, outgoing, g.ID)
+	g.persist(changes)
 }
 
 // publishChanges publishes, logs and gossips changes to suspected requests.
-func (g *Gateway) publishChanges(news []quarantine.Record, parcels []quarantine.Parcel, from string) {
-	if len(news) == 0 {
+func (g *Gateway) publishChanges(changes []quarantine.Record, outgoing []quarantine.Outgoing, from string) {
+	if len(changes) == 0 {
 		return
 	}
 	g.publishSuspects()
-	g.logSuspects(news, from)
+	g.logSuspects(changes, from)
 	g.updateSelf()
-	for _, p := range parcels {
+	for _, p := range outgoing {
 		g.sendSuspects(member.Member{Peer: p.To}, p.Records)
 	}
 }
@@ -176,10 +176,10 @@
 	}
 	for _, r := range list {
 		kept := true
-		switch n := r.Standing(); {
-		case quarantine.Holds(n):
+		switch n := r.Uncleared(); {
+		case quarantine.HeldBack(n):
 			kept = g.Keeper.Keep(r)
-		case n == 0 && quarantine.Holds(len(r.Crashes)):
+		case n == 0 && quarantine.HeldBack(len(r.Crashes)):
 			kept = g.Keeper.Drop(r.Key)
 		}
 		if !kept {
@@ -190,11 +190,11 @@
 
 // ranksFirst reports whether this router ranks first for a request among the running routers.
 func (g *Gateway) ranksFirst(now time.Time, k quarantine.Key) bool {
-	standing := member.NewRankCounter(k.String(), g.self.ID, g.self.Zone)
+	rank := member.NewRankCounter(k.String(), g.self.ID, g.self.Zone)
 	for r := range g.runningRouters(now) {
-		standing.Add(r.ID, r.Zone)
+		rank.Add(r.ID, r.Zone)
 	}
-	return standing.InTop(1)
+	return rank.InTop(1)
 }
 
 func (g *Gateway) sendSuspects(to member.Member, list []quarantine.Record) {
@@ -208,18 +208,18 @@
 func (g *Gateway) logSuspects(list []quarantine.Record, from string) {
 	for _, r := range list {
 		g.Metrics.countSuspect(r)
-		standing := r.Standing()
+		uncleared := r.Uncleared()
 		if len(r.Crashes) == 1 {
 			continue
 		}
 		what := "request suspected"
 		switch {
-		case quarantine.Holds(standing):
+		case quarantine.HeldBack(uncleared):
 			what = "request held back"
-		case standing == 0:
+		case uncleared == 0:
 			what = "request cleared"
 		}
-		g.Log.Info(what, "content", r.Key.String(), "organisation", r.Organisation, "crashes", standing,
+		g.Log.Info(what, "content", r.Key.String(), "organisation", r.Organisation, "crashes", uncleared,
 			"targets", crashedTargets(r), "from", from)
 	}
 }
@@ -240,14 +240,14 @@
 		g.sendSuspects(from, g.quarantine.exchange.All(now))
 		return
 	}
-	news, parcels := g.quarantine.exchange.Heard(now, m.Records)
-	g.publishChanges(news, parcels, string(from.ID))
+	changes, outgoing := g.quarantine.exchange.Receive(now, m.Records)
+	g.publishChanges(changes, outgoing, string(from.ID))
 }
 
 // compareSuspects requests all records of suspected requests from a router whose digest of them
 // differs from this router's.
 func (g *Gateway) compareSuspects(now time.Time, from member.Member, digest uint64) {
-	if g.quarantine.exchange.Differs(now, digest) {
+	if g.quarantine.exchange.ShouldPull(now, digest) {
 		g.sendTo(from, message.Quarantine{WantAll: true})
 	}
 }
@@ -261,10 +261,10 @@
 	}
 	g.quarantine.lastExpiry = now
 	for _, r := range g.quarantine.state.Expire(now) {
-		if r.Standing() > 1 {
-			g.Log.Info("request forgotten", "content", r.Key.String(), "organisation", r.Organisation, "crashes", r.Standing())
+		if r.Uncleared() > 1 {
+			g.Log.Info("request forgotten", "content", r.Key.String(), "organisation", r.Organisation, "crashes", r.Uncleared())
 		}
-		if g.Keeper != nil && quarantine.Holds(r.Standing()) && g.ranksFirst(now, r.Key) && !g.Keeper.Drop(r.Key) {
+		if g.Keeper != nil && quarantine.HeldBack(r.Uncleared()) && g.ranksFirst(now, r.Key) && !g.Keeper.Drop(r.Key) {
 			g.Log.Info("request held back not deleted", "content", r.Key.String())
 		}
 		g.publishSuspects()
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -23,15 +23,15 @@
 }
 
 func measure(l *ledger.Ledger) measured {
-	m := measured{service: l.Service()}
+	m := measured{service: l.ServedCost()}
 	m.gap, m.series = l.Gaps()
-	m.busy, m.idle = l.Use()
+	m.busy, m.idle = l.Utilisation()
 	return m
 }
 
 // count counts broken promises.
 func (m *measured) count(l *ledger.Ledger) {
-	m.doubled, m.notRunButRan = l.Doubled(), l.NotRunButRan()
+	m.doubled, m.notRunButRan = l.RunTwice(), l.NotRunButRan()
 }
 
 // tally counts what callers got.
@@ -109,13 +109,13 @@
 	c := all.sum()
 	p := report.PolicyResult{
 		Policy: policy, Gap: m.gap.Size, GapBetween: m.gap, GapSeries: m.series, Utilisation: m.busy, IdleWhileWaiting: m.idle,
-		ControlBytesPerRouterSecond: float64(c.bytes) / perRouter,
-		ControlMessagesPerRouterSec: float64(c.messages) / perRouter,
-		StoreCallsPerSecond:         float64(all.calls) / took.Seconds(),
-		RemotePart:                  part(c.granted-c.declined, c.granted-c.declined+c.local),
-		DeclinedPart:                part(c.declined, c.granted),
-		SubstitutedPart:             part(c.substituted, c.granted),
-		Completed:                   t.completed, Late: t.late, Lost: t.lost, Doubled: m.doubled,
+		ControlBytesPerRouterSecond:    float64(c.bytes) / perRouter,
+		ControlMessagesPerRouterSecond: float64(c.messages) / perRouter,
+		StoreCallsPerSecond:            float64(all.calls) / took.Seconds(),
+		RemoteFraction:                 part(c.granted-c.declined, c.granted-c.declined+c.local),
+		DeclinedFraction:               part(c.declined, c.granted),
+		SubstitutedFraction:            part(c.substituted, c.granted),
+		Completed:                      t.completed, Late: t.late, Lost: t.lost, Doubled: m.doubled,
 		Wrong: t.wrong, NotRunButRan: m.notRunButRan, Violations: invariant.Total(), Unfinished: t.unfinished,
 		FirstTokenMS: report.NewQuantiles(t.first), BetweenTokensMS: report.NewQuantiles(t.between),
 		Refused: map[request.Reason]int{}, Seconds: took.Seconds(), Routers: all.results(took),
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -12,14 +12,14 @@
 	"github.com/stepcroft/stepcroft/internal/ledger"
 )
 
-// Size of a picture.
+// Size of the plot.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
 )
 
-// Plot writes a picture of the largest gap open over time, with a line for each
-// policy, to an SVG, PNG or PDF file.
+// Plot writes a plot of the largest fairness gap over time, with a line for each policy, to a
+// file. The file's extension selects the format, such as SVG, PNG or PDF.
 func Plot(c Comparison, file string) error {
 	p := plot.New()
 	p.Title.Text = "Fairness gap, " + c.Scenario
@@ -30,7 +30,7 @@
 	for i, policy := range c.Policies {
 		points := make(plotter.XYs, len(policy.GapSeries))
 		for j, gap := range policy.GapSeries {
-			points[j] = plotter.XY{X: float64(j+1) * ledger.GapSeriesStep, Y: gap}
+			points[j] = plotter.XY{X: float64(j+1) * ledger.GapSeriesStepSeconds, Y: gap}
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -86,7 +86,7 @@
 	client := platform.New(s.platform.Address())
 	r, err := router.New(router.Options{
 		ID: id, Listen: loopback, PeerListen: loopback, Platform: client, Seed: 1, Log: logr.Discard(),
-		ReportPeriod: 100 * time.Millisecond, Timeout: time.Second,
+		ReportPeriod: 100 * time.Millisecond, RouterTimeout: time.Second,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	s.seed(config.KindBox, id, config.Box{
@@ -146,20 +146,20 @@
 	detail             string
 }
 
-var badRequests = map[string]badRequest{
+var badRequestCases = map[string]badRequest{
 	"no JSON":          {"POST", "/v1/chat/completions", "{", nil, request.ReasonBadRequest, "not the JSON"},
 	"no model":         {"POST", "/v1/chat/completions", "{}", nil, request.ReasonBadRequest, "field model"},
 	"no messages":      {"POST", "/v1/chat/completions", `{"model":"chat"}`, nil, request.ReasonBadRequest, "field messages"},
 	"unknown model":    {"POST", "/v1/chat/completions", `{"model":"x","messages":[{}]}`, nil, request.ReasonUnknownModel, "field model"},
-	"unknown key":      {"POST", "/v1/chat/completions", "", []string{"Authorization", "Bearer x"}, request.ReasonUnauthorized, "API key"},
-	"no key":           {"POST", "/v1/chat/completions", "", []string{"Authorization", ""}, request.ReasonUnauthorized, "Authorization"},
+	"unknown key":      {"POST", "/v1/chat/completions", "", []string{"Authorization", "Bearer x"}, request.ReasonUnknownKey, "API key"},
+	"no key":           {"POST", "/v1/chat/completions", "", []string{"Authorization", ""}, request.ReasonUnknownKey, "Authorization"},
 	"bad deadline":     {"POST", "/v1/chat/completions", chat("a", 1, false), []string{httpcaller.HeaderDeadline, "-1s"}, request.ReasonBadRequest, httpcaller.HeaderDeadline},
 	"bad priority":     {"POST", "/v1/chat/completions", chat("a", 1, false), []string{httpcaller.HeaderPriority, "11"}, request.ReasonBadRequest, httpcaller.HeaderPriority},
 	"bad hint":         {"POST", "/v1/chat/completions", chat("a", 1, false), []string{httpcaller.HeaderCostHint, "NaN"}, request.ReasonBadRequest, httpcaller.HeaderCostHint},
 	"bad repeatable":   {"POST", "/v1/chat/completions", chat("a", 1, false), []string{httpcaller.HeaderRepeatable, "maybe"}, request.ReasonBadRequest, httpcaller.HeaderRepeatable},
 	"bad id":           {"POST", "/v1/chat/completions", chat("a", 1, false), []string{httpcaller.HeaderRequestID, "x"}, request.ReasonBadRequest, httpcaller.HeaderRequestID},
 	"id never given":   {"POST", "/v1/services/pay/x", "", []string{httpcaller.HeaderRequestID, "r1.1.1"}, request.ReasonIncarnationGone, "gone"},
-	"too large":        {"POST", "/v1/chat/completions", strings.Repeat("x", 2<<20), nil, request.ReasonTooLarge, "1048576"},
+	"too large":        {"POST", "/v1/chat/completions", strings.Repeat("x", 2<<20), nil, request.ReasonBodyTooLarge, "1048576"},
 	"unknown service":  {"POST", "/v1/services/x/y", "", nil, request.ReasonUnknownService, "no instance"},
 	"unknown path":     {"GET", "/nowhere", "", nil, request.ReasonUnknownPath, "/nowhere"},
 	"unknown request":  {"GET", "/v1/requests/r9.1.1", "", nil, request.ReasonIncarnationGone, "gone"},
@@ -185,7 +185,7 @@
 		}
 	})
 
-	for name, c := range badRequests {
+	for name, c := range badRequestCases {
 		It("refuses with a reason, a detail and whether the request ran: "+name, func() {
 			a := s.do(s.routers[0], c.method, c.path, c.body, c.header...)
 			Expect(a.reason).To(Equal(c.reason), a.body)
@@ -260,7 +260,7 @@
 		})
 		Eventually(func() int64 {
 			retried := int64(0)
-			s.routers[0].Metrics().Retries(func(r request.Reason, n int64) {
+			s.routers[0].Metrics().EachRetry(func(r request.Reason, n int64) {
 				if r == request.RetryBroken {
 					retried = n
 				}
@@ -391,7 +391,7 @@
 		before.Stop()
 		r, err := router.New(router.Options{
 			ID: "r2", Listen: before.Address(), PeerListen: before.Self().Peer, Platform: client, Seed: 1,
-			Log: logr.Discard(), ReportPeriod: 100 * time.Millisecond, Timeout: time.Second,
+			Log: logr.Discard(), ReportPeriod: 100 * time.Millisecond, RouterTimeout: time.Second,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		s.routers[1] = r
@@ -422,7 +422,7 @@
 		Expect(a.outcome).To(Equal(request.Completed), a.body)
 		Eventually(drained, "30s").Should(Receive(BeNil()))
 		refused := s.do(r3, "POST", "/v1/chat/completions", chat("older", 2, false))
-		Expect(refused.reason).To(Equal(request.ReasonLeaving))
+		Expect(refused.reason).To(Equal(request.ReasonRouterLeaving))
 		Expect(refused.outcome).To(Equal(request.NotRun))
 	})
 
@@ -443,7 +443,7 @@
 
 	It("counts refusals by reason", func() {
 		var out bytes.Buffer
-		s.routers[0].Metrics().Refusals(func(r request.Reason, n int64) { fmt.Fprintln(&out, r, n) })
+		s.routers[0].Metrics().EachRefusal(func(r request.Reason, n int64) { fmt.Fprintln(&out, r, n) })
 		Expect(out.String()).To(ContainSubstring("bad-request"))
 		Expect(invariant.Total()).To(BeZero())
 	})
--- a/internal/sockopt/accept_test.go
+++ b/internal/sockopt/accept_test.go
@@ -107,13 +107,13 @@
 	}
 	wait.Wait()
 	if failed == nil {
-		t.Error("Accept returned a connection after Close")
+		t.Error("accepted")
 	}
 }
 
-func TestBacklogBoundsWhatWaits(t *testing.T) {
+func TestBacklogLimitsPendingConnections(t *testing.T) {
 	l, _ := listening(t)
-	if err := sockopt.Backlog(l, 1); err != nil {
+	if err := sockopt.SetBacklog(l, 1); err != nil {
 		t.Fatal(err)
 	}
 	const callers = 8
