--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -231,7 +231,7 @@
 func (g *Gateway) updateSelf() {
 	g.roster.UpdateSelf(message.RouterRecord{
 		Ready: g.server.Ready(), Leaving: g.leaving, Serving: g.reporter.active,
-		StoreTrouble: !g.storeFailingSince.IsZero(), Capacity: g.Capacity,
+		StoreFailing: !g.storeFailingSince.IsZero(), Capacity: g.Capacity,
 	})
 	g.roster.SetRevisions(g.catalog.Newest(), g.quarantine.state.Digest())
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -103,7 +103,7 @@
 		for r := range g.runningRouters(now) {
 			running++
 			live.Add(r.ID, r.Zone)
-			if !r.StoreTrouble {
+			if !r.StoreFailing {
 				reaching.Add(r.ID, r.Zone)
 			}
 		}
@@ -126,7 +126,7 @@
 	watch := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
 		for r := range g.runningRouters(now) {
-			watch = watch || r.ID != g.self.ID && !r.StoreTrouble
+			watch = watch || r.ID != g.self.ID && !r.StoreFailing
 		}
 	})
 	return watch
