--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -19,79 +19,80 @@
 )
 
 const (
-	// reportPeriod is the time between reports of load among the routers that
-	// serve callers, while they are few: a third of the time that engines take
-	// to read what they may hold unread.
+	// reportPeriod is the least interval between load reports that serving routers send one
+	// another: a third of the time in which engines work off the largest prefill backlog that
+	// they may have.
 	reportPeriod = 100 * time.Millisecond
-	// periodPerPeer lengthens it for more receivers, so that a router sends and
-	// receives some 100 reports a second.
+	// periodPerPeer times the number of receivers is the interval in larger fleets, so that a
+	// router sends and receives no more than some 100 reports a second.
 	periodPerPeer = 10 * time.Millisecond
-	// meshMost is the number of other serving routers up to which all of them tell
-	// one another; beyond, zones tell sums. Sums are older by up to sumPeriod, and
-	// what passes between zones falls with them.
-	meshMost = 16
-	// sumPeriod is the time between sums: half of what engines take to read what
-	// they may hold unread.
+	// maxMeshPeers is the number of other serving routers up to which every router reports to
+	// every other. Above it, routers report within their zone, and zones exchange sums. That
+	// reduces the traffic between zones, but sums are older by up to sumPeriod.
+	maxMeshPeers = 16
+	// sumPeriod is the interval between a zone's sums: half of the time in which engines work
+	// off the largest prefill backlog that they may have.
 	sumPeriod = 200 * time.Millisecond
-	// sumAge is for how long after a zone's sum what its routers tell directly is
-	// left aside: it is in the sum.
-	sumAge = time.Second
-	// beatPeriod is the time between looks at which messages to other routers
-	// are due: news that come together in it are passed on together.
-	beatPeriod = 50 * time.Millisecond
+	// sumTTL is how long after a zone's sum direct reports of its routers are ignored, since
+	// the sum includes them.
+	sumTTL = time.Second
+	// tickInterval is the interval at which the gateway checks which messages to other routers
+	// are due. Updates that arrive within one interval are forwarded together.
+	tickInterval = 50 * time.Millisecond
 )
 
-// reporter is when and what a router has told the others that serve callers.
+// reporter is the state of this router's load reports to the other serving routers.
 type reporter struct {
 	due time.Time
-	// sumDue is when the next sum of the zone is.
+	// sumDue is when the next sum of the zone is due, if this router is the zone's relay.
 	sumDue time.Time
-	// serving is whether it had something to tell.
-	serving bool
+	// active is set if this router had any load at its last report.
+	active bool
 }
 
-// beats does what is due towards the other routers.
-func (g *Gateway) beats(ctx context.Context) {
-	for next := clock.Now(); group.SleepUntil(ctx, next); next = clock.Now().Add(beatPeriod) {
-		g.loop.PostAndWait(ctx, g.beat)
+// runTicks runs tick in the control goroutine every tickInterval until ctx is done.
+func (g *Gateway) runTicks(ctx context.Context) {
+	for next := clock.Now(); group.SleepUntil(ctx, next); next = clock.Now().Add(tickInterval) {
+		g.loop.PostAndWait(ctx, g.tick)
 	}
 }
 
-func (g *Gateway) beat(s *balance.State, now time.Time) {
+// tick does the periodic work of the control goroutine: reports, gossip, logging and expiry.
+func (g *Gateway) tick(s *balance.State, now time.Time) {
 	if !now.Before(g.reporter.due) {
 		g.report(s, now)
 	}
-	g.say()
-	g.send(g.roster.Tick(now))
-	g.logBeliefs(g.roster.Changes())
+	g.updateSelf()
+	g.sendPings(g.roster.Tick(now))
+	g.logStateChanges(g.roster.Changes())
 	g.logThrottles(s.ThrottleNotices())
 	g.logTallies(now)
 	g.logCold(s, now)
 	g.logAdvice(s)
-	g.found(now)
+	g.publishLocalChanges(now)
 	g.expireSuspects(now)
-	g.stopWaiting(now)
+	g.expireConfirmation(now)
 	if expired := g.catalog.ExpireLapsed(now); len(expired) > 0 {
 		g.Log.Info("lapsed targets given up", "era", revision.Era(g.catalog.TargetsRevision()), "revision", revision.Store(g.catalog.TargetsRevision()), "count", len(expired),
-			"targets", expired[:min(len(expired), namesMost)])
+			"targets", expired[:min(len(expired), maxLoggedTargets)])
 		s.SetTargets(now, g.catalog.Targets())
 	}
 	if g.catalog.Settle(now) {
-		g.targetsChanged(s, now, true, fromTime)
+		g.targetsChanged(s, now, true, sourceTimer)
 	}
 }
 
-// namesMost bounds the targets named in a line, so that a line stays short where
-// hundreds go at once.
-const namesMost = 8
+// maxLoggedTargets is the most targets named in a log line, which stays short that way even if
+// hundreds expire at once.
+const maxLoggedTargets = 8
 
-// linesMost is the number of routers up to which each change of belief gets a line:
-// where all start at once, hundreds would push other lines out.
-const linesMost = 8
+// maxStateChangeLines is the number of routers up to which each change of state gets a log line
+// of its own. If a whole fleet starts at once, hundreds of them would displace other lines.
+const maxStateChangeLines = 8
 
-// logBeliefs logs which routers were found, are suspected or gone.
-func (g *Gateway) logBeliefs(list []message.RouterRecord) {
-	if len(list) > linesMost {
+// logStateChanges logs the routers that have become alive, suspected or gone.
+func (g *Gateway) logStateChanges(list []message.RouterRecord) {
+	if len(list) > maxStateChangeLines {
 		count := map[string]int{}
 		for _, r := range list {
 			count[r.State.String()]++
@@ -104,8 +105,8 @@
 	}
 }
 
-// logThrottles logs which organisations the router throttles, or no longer: what it
-// refuses unread may be hundreds of requests a second, of which few get a line.
+// logThrottles logs for which organisations throttling has begun or ended. Throttled requests are
+// rejected before parsing, maybe hundreds a second, and most of them get no log line.
 func (g *Gateway) logThrottles(list []throttle.Notice) {
 	for _, k := range list {
 		what := "organisation throttled"
@@ -118,40 +119,42 @@
 	}
 }
 
-// report tells the other routers that serve callers what this one's requests put
-// on targets, as long as there are any, and once that there are none any more. In a
-// large fleet it tells those of its zone, and the relay of the zone tells the sum.
+// report sends the other serving routers the load that this router's requests put on targets, as
+// long as there is any, and one more report when there is none any longer. In a large fleet it
+// reports to its zone only, and the relay of the zone sends the zone's sum to the other zones.
 func (g *Gateway) report(s *balance.State, now time.Time) {
 	r := s.Report(now)
 	serving := g.roster.Serving(now)
 	to := serving
-	summed := len(serving) > meshMost
-	if summed {
-		to = inZone(serving, g.known.Zone)
+	useSums := len(serving) > maxMeshPeers
+	if useSums {
+		to = inZone(serving, g.self.Zone)
 	}
-	if r.Active() || g.reporter.serving {
-		own := g.describe(r)
-		g.peers.SendAll(members(to), own)
-		g.zone.UpdateReport(now, g.known.ID, own)
+	if r.Active() || g.reporter.active {
+		status := g.statusOf(r)
+		g.peers.SendAll(members(to), status)
+		g.zone.UpdateReport(now, g.self.ID, status)
 	}
-	if summed && g.relays(serving) {
-		g.tellSum(now, serving)
+	if useSums && g.isRelay(serving) {
+		g.sendSum(now, serving)
 	} else {
 		g.zone.DiscardParts()
 	}
 	period := max(reportPeriod, periodPerPeer*time.Duration(len(to)))
-	g.reporter.due, g.reporter.serving = now.Add(period), r.Active()
-	if summed {
-		// What waits in another zone is told by two, each when its turn comes.
+	g.reporter.due, g.reporter.active = now.Add(period), r.Active()
+	if useSums {
+		// Reports of another zone pass through two routers, each of which sends at its own
+		// interval.
 		period += sumPeriod
 	}
 	s.SetReportPeriod(period)
 	s.SetPeers(g.roster.CountOthers(now), len(serving))
 }
 
-// relays reports whether this router tells the sum of its zone. One that does not
-// serve would rank first for itself alone.
-func (g *Gateway) relays(serving []message.RouterRecord) bool {
+// isRelay reports whether this router is the relay of its zone, which sends the zone's sum. A
+// router that does not serve is not in the others' lists, so it would be relay only in its own
+// view.
+func (g *Gateway) isRelay(serving []message.RouterRecord) bool {
 	self := g.roster.Self()
 	if !self.Serving {
 		return false
@@ -160,50 +163,50 @@
 	return ok && first.ID == self.ID
 }
 
-// tellSum tells the relay of each other zone the sum of this one.
-func (g *Gateway) tellSum(now time.Time, serving []message.RouterRecord) {
+// sendSum sends the sum of this zone to the relay of each other zone if it is due.
+func (g *Gateway) sendSum(now time.Time, serving []message.RouterRecord) {
 	if now.Before(g.reporter.sumDue) {
 		return
 	}
 	g.reporter.sumDue = now.Add(sumPeriod)
 	sum := g.zone.Take(now)
 	sum.Revisions = g.catalog.Newest()
-	told := map[string]bool{g.known.Zone: true}
+	sent := map[string]bool{g.self.Zone: true}
 	for _, r := range serving {
-		if told[r.Zone] {
+		if sent[r.Zone] {
 			continue
 		}
-		told[r.Zone] = true
+		sent[r.Zone] = true
 		if to, ok := zonesum.SelectRelay(r.Zone, serving); ok {
-			g.peers.Send(roster.Member(to), message.ZoneStatus{Zone: g.known.Zone, Status: sum})
+			g.peers.Send(roster.Member(to), message.ZoneStatus{Zone: g.self.Zone, Status: sum})
 		}
 	}
 }
 
-// heardZone takes in the sum of another zone, which replaces what routers of that
-// zone told this one directly, and tells it to this router's zone if it comes from
-// the other.
-func (g *Gateway) heardZone(s *balance.State, now time.Time, from member.Member, m message.ZoneStatus) {
-	if m.Zone == g.known.Zone {
+// handleZoneStatus applies the sum of another zone, which replaces the direct reports of that
+// zone's routers. If the message comes from another zone, this router is the relay of its own
+// zone and forwards it to the other routers there.
+func (g *Gateway) handleZoneStatus(s *balance.State, now time.Time, from member.Member, m message.ZoneStatus) {
+	if m.Zone == g.self.Zone {
 		return
 	}
-	g.sums[m.Zone] = now
-	for id, zone := range g.direct {
+	g.lastSums[m.Zone] = now
+	for id, zone := range g.directZones {
 		if zone == m.Zone {
 			s.ForgetPeer(now, string(id))
-			delete(g.direct, id)
+			delete(g.directZones, id)
 		}
 	}
-	s.ApplyReport(now, sumName(m.Zone), reportOf(m.Status))
-	g.catchUp(now, from, m.Status.Revisions)
-	if from.Zone != g.known.Zone {
+	s.ApplyReport(now, sumPeerName(m.Zone), reportOf(m.Status))
+	g.requestNewer(now, from, m.Status.Revisions)
+	if from.Zone != g.self.Zone {
 		m.Status.Revisions = g.catalog.Newest()
-		g.peers.SendAll(members(inZone(g.roster.Serving(now), g.known.Zone)), m)
+		g.peers.SendAll(members(inZone(g.roster.Serving(now), g.self.Zone)), m)
 	}
 }
 
-// sumName is the name under which a zone's sum stands among routers' reports.
-func sumName(zone string) string { return "zone " + zone }
+// sumPeerName returns the name under which a zone's sum is stored among the routers' reports.
+func sumPeerName(zone string) string { return "zone " + zone }
 
 // inZone returns the routers of a list that are in a zone.
 func inZone(list []message.RouterRecord, zone string) []message.RouterRecord {
@@ -224,38 +227,39 @@
 	return out
 }
 
-// say tells the roster how this router is.
-func (g *Gateway) say() {
+// updateSelf updates this router's own record in the roster.
+func (g *Gateway) updateSelf() {
 	g.roster.UpdateSelf(message.RouterRecord{
-		Ready: g.server.Ready(), Leaving: g.leaving, Serving: g.reporter.serving,
-		StoreFailing: !g.trouble.IsZero(), Capacity: g.Capacity,
+		Ready: g.server.Ready(), Leaving: g.leaving, Serving: g.reporter.active,
+		StoreFailing: !g.storeFailingSince.IsZero(), Capacity: g.Capacity,
 	})
-	g.roster.SetRevisions(g.catalog.Newest(), g.isolation.state.Digest())
+	g.roster.SetRevisions(g.catalog.Newest(), g.quarantine.state.Digest())
 }
 
-// spread tells some other routers at once what is new, who do the same.
-func (g *Gateway) spread(now time.Time) {
-	g.say()
-	g.send(g.roster.Gossip(now))
+// gossip sends this router's current record and revisions to some other routers at once,
+// without waiting for the next tick.
+func (g *Gateway) gossip(now time.Time) {
+	g.updateSelf()
+	g.sendPings(g.roster.Gossip(now))
 }
 
-// send sends what the roster says.
-func (g *Gateway) send(list []roster.Outgoing) {
+// sendPings sends the roster's outgoing pings.
+func (g *Gateway) sendPings(list []roster.Outgoing) {
 	for _, s := range list {
-		g.tell(member.Member{Peer: s.Peer}, s.Ping)
+		g.sendTo(member.Member{Peer: s.Peer}, s.Ping)
 	}
 }
 
-// tell sends a message to another router: as a datagram, or on a stream if it is
-// too large.
-func (g *Gateway) tell(to member.Member, m message.Message) {
+// sendTo sends a message to another router: as a datagram, or on a stream if the message is too
+// large for one.
+func (g *Gateway) sendTo(to member.Member, m message.Message) {
 	if !g.datagrams.Send(to, m) {
 		g.peers.Send(to, m)
 	}
 }
 
-// describe returns what a report says.
-func (g *Gateway) describe(r view.Report) message.Status {
+// statusOf converts a report into a message.
+func (g *Gateway) statusOf(r view.Report) message.Status {
 	m := message.Status{Revisions: g.catalog.Newest()}
 	for id, l := range r.Loads {
 		m.Loads = append(m.Loads, targetLoad(id, l))
@@ -273,11 +277,11 @@
 	return message.TargetLoad{Target: id, PendingTokens: l.PendingTokens, Running: l.Running, MemoryTokens: l.MemoryTokens}
 }
 
-// tellLoad tells the serving routers at once what own requests put on a target, and
-// what the last one added.
-func (g *Gateway) tellLoad(target string, now, added view.Load) {
+// sendLoad sends the serving routers, without waiting for the next report, the load that this
+// router's requests put on a target, and the part that the latest request added.
+func (g *Gateway) sendLoad(target string, now, added view.Load) {
 	m := message.Loads{Loads: []message.TargetLoad{targetLoad(target, now)}, Deltas: []message.TargetLoad{targetLoad(target, added)}}
 	for _, to := range g.roster.Serving(clock.Now()) {
-		g.tell(roster.Member(to), m)
+		g.sendTo(roster.Member(to), m)
 	}
 }
