--- a/internal/gateway/tally.go
+++ b/internal/gateway/tally.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	// tallyPeriod is the time between two lines about an organisation's requests.
-	tallyPeriod = time.Second
-	// talliesMost is the number of organisations that have such a line at a time.
-	talliesMost = 4
+	// tallyInterval is the interval between two log lines about an organisation's requests.
+	tallyInterval = time.Second
+	// maxTallyLines is the most organisations that get such a line in one interval.
+	maxTallyLines = 4
 )
 
-// outcomes is what became of an organisation's requests.
+// outcomes counts an organisation's requests by how they ended.
 type outcomes struct {
 	answered, refused, cut int
-	// hidden is how many have no line of their own.
-	hidden int
-	// tokens is what those count for in shares that were answered or cut.
+	// unlogged counts the requests without a log line of their own.
+	unlogged int
+	// tokens is the sum that the answered and cut requests count for in fair shares.
 	tokens float64
 }
 
 func (o outcomes) requests() int { return o.answered + o.refused + o.cut }
 
-// tally counts what became of requests by organisation. Of many requests few have a line;
-// the sums tell what an organisation got all the same. The zero value is empty.
+// tally counts request outcomes by organisation. At high rates most requests have no log line; the
+// sums still show what each organisation was served. The zero value is empty.
 type tally struct {
-	mu  sync.Mutex
-	by  map[string]outcomes
-	due time.Time
+	mu             sync.Mutex
+	byOrganisation map[string]outcomes
+	due            time.Time
 }
 
-// add counts a request that ended; hidden tells that it has no line.
-func (t *tally) add(r forward.Request, v forward.Result, hidden bool) {
+// add counts a request that has ended; unlogged is set if it has no log line.
+func (t *tally) add(r forward.Request, v forward.Result, unlogged bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.by == nil {
-		t.by = map[string]outcomes{}
+	if t.byOrganisation == nil {
+		t.byOrganisation = map[string]outcomes{}
 	}
-	o := t.by[r.Organisation]
+	o := t.byOrganisation[r.Organisation]
 	switch outcome(v) {
 	case "refused":
 		o.refused++
@@ -56,35 +56,37 @@
 	if v.HeadSent {
 		o.tokens += throttle.RequestSize{Input: r.Input, Output: r.Output}.Tokens()
 	}
-	if hidden {
-		o.hidden++
+	if unlogged {
+		o.unlogged++
 	}
-	t.by[r.Organisation] = o
+	t.byOrganisation[r.Organisation] = o
 }
 
-// take returns the sums since the last call, or nil before they are due.
+// take returns and resets the sums, or returns nil if tallyInterval has not passed since the last
+// call that returned them.
 func (t *tally) take(now time.Time) map[string]outcomes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if now.Before(t.due) {
 		return nil
 	}
-	t.due = now.Add(tallyPeriod)
-	by := t.by
-	t.by = nil
+	t.due = now.Add(tallyInterval)
+	by := t.byOrganisation
+	t.byOrganisation = nil
 	return by
 }
 
-// logTallies logs sums for the organisations with most requests of which some have no line.
+// logTallies logs the sums of the organisations with the most requests, leaving out those whose
+// requests all have log lines.
 func (g *Gateway) logTallies(now time.Time) {
 	by := g.tally.take(now)
-	maps.DeleteFunc(by, func(_ string, o outcomes) bool { return o.hidden == 0 })
+	maps.DeleteFunc(by, func(_ string, o outcomes) bool { return o.unlogged == 0 })
 	names := slices.SortedFunc(maps.Keys(by), func(a, b string) int {
 		return cmp.Or(cmp.Compare(by[b].requests(), by[a].requests()), cmp.Compare(a, b))
 	})
-	for _, name := range names[:min(len(names), talliesMost)] {
+	for _, name := range names[:min(len(names), maxTallyLines)] {
 		o := by[name]
 		g.Log.Info("requests of an organisation", "organisation", name, "answered", o.answered, "refused", o.refused,
-			"cut", o.cut, "tokens", int(o.tokens), "without_line", o.hidden)
+			"cut", o.cut, "tokens", int(o.tokens), "without_line", o.unlogged)
 	}
 }
