--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	// suspectsEach is the number of requests in one message: with some 80 bytes for each
-	// most messages fit into a datagram.
-	suspectsEach = 12
-	// expirePeriod is the time between looks for what is too old.
-	expirePeriod = time.Second
+	// maxSuspectsPerMessage is the most requests in one message. At some 80 bytes each, most
+	// messages fit into a datagram.
+	maxSuspectsPerMessage = 12
+	// expireInterval is the interval at which records that are too old are removed.
+	expireInterval = time.Second
 )
 
-// isolation is what a router knows of requests that end targets, and when it asked others.
-// All but the view belongs to the control goroutine.
-type isolation struct {
+// quarantineState holds the requests that this router suspects of crashing targets, and the state
+// of their exchange with other routers. It belongs to the control goroutine.
+type quarantineState struct {
 	state    *quarantine.State
 	exchange *quarantine.Exchange
-	// lives has when the processes of targets started, by id, where they say so.
-	lives map[string]int64
-	// expired is when was last looked for what is too old.
-	expired time.Time
+	// bornByTarget has the start times of the targets' processes by target id, as far as their
+	// entries give them.
+	bornByTarget map[string]int64
+	// lastExpiry is when old records were last removed.
+	lastExpiry time.Time
 }
 
-// Keeper keeps requests that are held back where they outlive all routers. It does not
-// wait, and returns false where it has too many to keep.
+// Keeper persists requests that are held back, so that they survive a restart of all routers. Its
+// methods do not block, and return false if too many writes are pending.
 type Keeper interface {
 	Keep(r quarantine.Record) bool
 	Drop(k quarantine.Key) bool
 }
 
-// Restore takes over requests that were held back before this router started.
+// Restore adds requests that were held back before this router started.
 func (g *Gateway) Restore(list []quarantine.Record) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
-		news, parcels := g.isolation.exchange.Receive(now, list)
-		g.suspected(news, parcels, fromStore)
+		changes, outgoing := g.quarantine.exchange.Receive(now, list)
+		g.publishChanges(changes, outgoing, sourceStore)
 	})
 }
 
@@ -50,31 +51,31 @@
 type suspects struct{ *Gateway }
 
 // View implements forward.Suspects.
-func (g suspects) View() *quarantine.View { return g.view.Load() }
+func (g suspects) View() *quarantine.View { return g.quarantineView.Load() }
 
 // RecordBreak implements forward.Suspects.
 func (g suspects) RecordBreak(ctx context.Context, b forward.Break) int {
 	crashes := 0
 	g.loop.PostAndWait(ctx, func(s *balance.State, now time.Time) {
-		if g.announced(s, b.Target) {
+		if g.exitExpected(s, b.Target) {
 			return
 		}
 		name := b.Target.Incarnation()
 		if b.TargetExited {
-			g.isolation.state.RecordExit(now, name)
+			g.quarantine.state.RecordExit(now, name)
 		}
-		crashes = g.isolation.state.RecordBreak(now, b.Key, b.Organisation, name, b.OnTrial)
-		g.found(now)
+		crashes = g.quarantine.state.RecordBreak(now, b.Key, b.Organisation, name, b.OnTrial)
+		g.publishLocalChanges(now)
 	})
 	return crashes
 }
 
-// StartTrial implements forward.Suspects: of all routers that run, the one that ranks first for
-// the request tries it.
+// StartTrial implements forward.Suspects. Of all running routers, only the one that ranks first
+// for the request may send it as a trial.
 func (g suspects) StartTrial(ctx context.Context, k quarantine.Key, until time.Time) bool {
 	may := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
-		may = g.ranksFirst(now, k) && g.isolation.state.StartTrial(now, k, until)
+		may = g.ranksFirst(now, k) && g.quarantine.state.StartTrial(now, k, until)
 		if may {
 			g.Log.Info("request on trial", "content", k.String())
 		}
@@ -84,15 +85,15 @@
 
 // EndTrial implements forward.Suspects.
 func (g suspects) EndTrial(k quarantine.Key) {
-	g.loop.Post(func(*balance.State, time.Time) { g.isolation.state.EndTrial(k) })
+	g.loop.Post(func(*balance.State, time.Time) { g.quarantine.state.EndTrial(k) })
 }
 
 // RecordExit implements forward.Suspects.
 func (g suspects) RecordExit(t balance.Target) {
 	g.loop.Post(func(s *balance.State, now time.Time) {
-		if !g.announced(s, t) {
-			g.isolation.state.RecordExit(now, t.Incarnation())
-			g.found(now)
+		if !g.exitExpected(s, t) {
+			g.quarantine.state.RecordExit(now, t.Incarnation())
+			g.publishLocalChanges(now)
 		}
 	})
 }
@@ -100,75 +101,76 @@
 // RecordSuccess implements forward.Suspects.
 func (g suspects) RecordSuccess(k quarantine.Key) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
-		g.isolation.state.Clear(k)
-		g.found(now)
+		g.quarantine.state.Clear(k)
+		g.publishLocalChanges(now)
 	})
 }
 
 // RecordSeen implements forward.Suspects.
 func (g suspects) RecordSeen(k quarantine.Key) {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
-		g.isolation.state.RecordSeen(now, k)
+		g.quarantine.state.RecordSeen(now, k)
 		g.publishSuspects()
 	})
 }
 
-// announced reports whether a target's end was to be expected: it said that it leaves, in
-// an answer or its entry, or its entry had gone before. An entry that lapsed with the store says neither, and a target
-// of which another process is known has started again.
-func (g *Gateway) announced(s *balance.State, t balance.Target) bool {
+// exitExpected reports whether a target's exit was expected: the target had announced that it is
+// leaving, in a response or in its entry, or its entry was already gone. A lapsed entry shows
+// neither. If the entry names another process, the target has restarted, and the entry tells
+// nothing about the exit of the earlier one.
+func (g *Gateway) exitExpected(s *balance.State, t balance.Target) bool {
 	known, listed := g.catalog.Target(t.ID)
 	return s.ReportedLeaving(t) || !listed || known.Born == t.Born && known.Leaving
 }
 
-// restarted notes that other processes have started under the ids of targets: what broke off
-// at those before ran there when they ended.
-func (g *Gateway) restarted(now time.Time, list []balance.Target) {
-	lives := g.isolation.lives
-	if len(lives) > 2*len(list) {
-		// Most of them are gone.
-		clear(lives)
+// recordRestarts records the targets whose entries name a new process. The earlier process has
+// exited, and requests that broke off there were running at its exit.
+func (g *Gateway) recordRestarts(now time.Time, list []balance.Target) {
+	born := g.quarantine.bornByTarget
+	if len(born) > 2*len(list) {
+		// Most of these targets are gone; the map is filled again below.
+		clear(born)
 	}
 	for _, t := range list {
-		known, ok := lives[t.ID]
+		known, ok := born[t.ID]
 		if known == t.Born {
 			continue
 		}
-		lives[t.ID] = t.Born
+		born[t.ID] = t.Born
 		if ok {
-			g.isolation.state.RecordExit(now, balance.Target{ID: t.ID, Born: known}.Incarnation())
+			g.quarantine.state.RecordExit(now, balance.Target{ID: t.ID, Born: known}.Incarnation())
 		}
 	}
-	g.found(now)
+	g.publishLocalChanges(now)
 }
 
-// publishSuspects puts what is suspected now in force.
-func (g *Gateway) publishSuspects() { g.view.Store(g.isolation.state.View()) }
+// publishSuspects makes new requests be checked against the present suspected requests.
+func (g *Gateway) publishSuspects() { g.quarantineView.Store(g.quarantine.state.View()) }
 
-// found puts in force what is newly known because of what happened here, keeps it, and tells
-// other routers.
-func (g *Gateway) found(now time.Time) {
-	news, parcels := g.isolation.exchange.Updates(now)
-	g.suspected(news, parcels, g.ID)
-	g.keep(news)
+// publishLocalChanges publishes, persists and gossips the changes to suspected requests that
+// arose at this router.
+func (g *Gateway) publishLocalChanges(now time.Time) {
+	changes, outgoing := g.quarantine.exchange.Updates(now)
+	g.publishChanges(changes, outgoing, g.ID)
+	g.persist(changes)
 }
 
-// suspected puts what is newly known in force, logs it, and tells other routers.
-func (g *Gateway) suspected(news []quarantine.Record, parcels []quarantine.Outgoing, from string) {
-	if len(news) == 0 {
+// publishChanges publishes, logs and gossips changes to suspected requests.
+func (g *Gateway) publishChanges(changes []quarantine.Record, outgoing []quarantine.Outgoing, from string) {
+	if len(changes) == 0 {
 		return
 	}
 	g.publishSuspects()
-	g.logSuspects(news, from)
-	g.say()
-	for _, p := range parcels {
-		g.tellSuspects(member.Member{Peer: p.To}, p.Records)
+	g.logSuspects(changes, from)
+	g.updateSelf()
+	for _, p := range outgoing {
+		g.sendSuspects(member.Member{Peer: p.To}, p.Records)
 	}
 }
 
-// keep has the keeper keep what this router found: each change of a request that is held
-// back, and that it is cleared.
-func (g *Gateway) keep(list []quarantine.Record) {
+// persist writes changes that arose at this router to the keeper: records of requests that are
+// held back, and the removal of those that were cleared.
+func (g *Gateway) persist(list []quarantine.Record) {
 	if g.Keeper == nil {
 		return
 	}
@@ -186,43 +188,43 @@
 	}
 }
 
-// ranksFirst reports whether this router is the first of those that run for a request.
+// ranksFirst reports whether this router ranks first for a request among the running routers.
 func (g *Gateway) ranksFirst(now time.Time, k quarantine.Key) bool {
-	standing := member.NewRankCounter(k.String(), g.known.ID, g.known.Zone)
-	for r := range g.running(now) {
-		standing.Add(r.ID, r.Zone)
+	rank := member.NewRankCounter(k.String(), g.self.ID, g.self.Zone)
+	for r := range g.runningRouters(now) {
+		rank.Add(r.ID, r.Zone)
 	}
-	return standing.InTop(1)
+	return rank.InTop(1)
 }
 
-func (g *Gateway) tellSuspects(to member.Member, list []quarantine.Record) {
-	for part := range slices.Chunk(list, suspectsEach) {
-		g.tell(to, message.Quarantine{Records: part})
+func (g *Gateway) sendSuspects(to member.Member, list []quarantine.Record) {
+	for part := range slices.Chunk(list, maxSuspectsPerMessage) {
+		g.sendTo(to, message.Quarantine{Records: part})
 	}
 }
 
-// logSuspects logs requests of which something new is known. Bystanders of one crash get
-// no line: there are dozens of each.
+// logSuspects logs changes to suspected requests. Requests with a single crash get no line, since
+// dozens of them may just have been running on the target that crashed.
 func (g *Gateway) logSuspects(list []quarantine.Record, from string) {
 	for _, r := range list {
-		g.Metrics.suspect(r)
-		standing := r.Uncleared()
+		g.Metrics.countSuspect(r)
+		uncleared := r.Uncleared()
 		if len(r.Crashes) == 1 {
 			continue
 		}
 		what := "request suspected"
 		switch {
-		case quarantine.HeldBack(standing):
+		case quarantine.HeldBack(uncleared):
 			what = "request held back"
-		case standing == 0:
+		case uncleared == 0:
 			what = "request cleared"
 		}
-		g.Log.Info(what, "content", r.Key.String(), "organisation", r.Organisation, "crashes", standing,
+		g.Log.Info(what, "content", r.Key.String(), "organisation", r.Organisation, "crashes", uncleared,
 			"targets", crashedTargets(r), "from", from)
 	}
 }
 
-// crashedTargets names the targets that ended under a request.
+// crashedTargets returns the targets that crashed while they ran a request.
 func crashedTargets(r quarantine.Record) []string {
 	list := make([]string, 0, len(r.Crashes))
 	for _, c := range r.Crashes {
@@ -231,36 +233,39 @@
 	return list
 }
 
-// heardSuspects takes in what another router knows of suspected requests.
-func (g *Gateway) heardSuspects(now time.Time, from member.Member, m message.Quarantine) {
+// handleQuarantine applies another router's records of suspected requests, or sends it all of this
+// router's if it asks for them.
+func (g *Gateway) handleQuarantine(now time.Time, from member.Member, m message.Quarantine) {
 	if m.WantAll {
-		g.tellSuspects(from, g.isolation.exchange.All(now))
+		g.sendSuspects(from, g.quarantine.exchange.All(now))
 		return
 	}
-	news, parcels := g.isolation.exchange.Receive(now, m.Records)
-	g.suspected(news, parcels, string(from.ID))
+	changes, outgoing := g.quarantine.exchange.Receive(now, m.Records)
+	g.publishChanges(changes, outgoing, string(from.ID))
 }
 
-// compareSuspects asks a router that knows something else of suspected requests for all of
-// it.
+// compareSuspects requests all records of suspected requests from a router whose digest of them
+// differs from this router's.
 func (g *Gateway) compareSuspects(now time.Time, from member.Member, digest uint64) {
-	if g.isolation.exchange.ShouldPull(now, digest) {
-		g.tell(from, message.Quarantine{WantAll: true})
+	if g.quarantine.exchange.ShouldPull(now, digest) {
+		g.sendTo(from, message.Quarantine{WantAll: true})
 	}
 }
 
-// expireSuspects forgets what is too old.
+// expireSuspects removes records of suspected requests that are too old, at most once every
+// expireInterval. Of all running routers only the one that ranks first removes a record from the
+// keeper.
 func (g *Gateway) expireSuspects(now time.Time) {
-	if now.Sub(g.isolation.expired) < expirePeriod {
+	if now.Sub(g.quarantine.lastExpiry) < expireInterval {
 		return
 	}
-	g.isolation.expired = now
-	for _, r := range g.isolation.state.Expire(now) {
+	g.quarantine.lastExpiry = now
+	for _, r := range g.quarantine.state.Expire(now) {
 		if r.Uncleared() > 1 {
 			g.Log.Info("request forgotten", "content", r.Key.String(), "organisation", r.Organisation, "crashes", r.Uncleared())
 		}
 		if g.Keeper != nil && quarantine.HeldBack(r.Uncleared()) && g.ranksFirst(now, r.Key) && !g.Keeper.Drop(r.Key) {
-			g.Log.Info("request held back not dropped", "content", r.Key.String())
+			g.Log.Info("request held back not deleted", "content", r.Key.String())
 		}
 		g.publishSuspects()
 	}
