--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -29,14 +29,14 @@
 	reason  request.Reason
 	// content is the text of the answer, concatenated if it was streamed.
 	content string
-	// broken is set if the answer is truncated or not valid.
-	broken bool
-	// firstToken is the time from the request to the first token of a streamed answer, and
-	// between the times between its tokens.
-	firstToken time.Duration
-	between    []time.Duration
-	// took is the time from the request to the end of the answer.
-	took time.Duration
+	// invalid is set if the answer is truncated or cannot be parsed.
+	invalid bool
+	// timeToFirstToken is the time from the request to the first token of a streamed answer, and
+	// tokenIntervals are the times between its tokens.
+	timeToFirstToken time.Duration
+	tokenIntervals   []time.Duration
+	// duration is the time from the request to the end of the answer.
+	duration time.Duration
 	// unfinished is set if the request was cut off by its timeout or by the end of the run.
 	unfinished bool
 }
@@ -59,7 +59,7 @@
 // do sends one request and reads its answer.
 func (c *caller) do(ctx context.Context, a scenario.Arrival) result {
 	start := clock.Now()
-	res, err := c.send(ctx, a)
+	res, err := c.sendWithFailover(ctx, a)
 	if err != nil {
 		return result{unfinished: ctx.Err() != nil}
 	}
@@ -76,23 +76,23 @@
 	default:
 		readWhole(res.Body, a, &r)
 	}
-	r.took = clock.Since(start)
-	if r.broken && ctx.Err() != nil {
+	r.duration = clock.Since(start)
+	if r.invalid && ctx.Err() != nil {
 		r.unfinished = true
 	}
 	return r
 }
 
-// send sends a request to its router. If the connection fails or the router is shutting down, it
-// tries the next router, as callers should.
-func (c *caller) send(ctx context.Context, a scenario.Arrival) (*http.Response, error) {
+// sendWithFailover sends a request to its router. If no connection can be opened or the router is
+// shutting down, it tries the next router, as callers should.
+func (c *caller) sendWithFailover(ctx context.Context, a scenario.Arrival) (*http.Response, error) {
 	var (
 		res *http.Response
 		err error
 	)
 	for n := range c.fleet.routers {
 		var req *http.Request
-		if req, err = c.request(ctx, a, a.Router+n); err != nil {
+		if req, err = c.newRequest(ctx, a, a.Router+n); err != nil {
 			return nil, err
 		}
 		res, err = c.client.Do(req)
@@ -100,22 +100,23 @@
 			res.Body.Close()
 			continue
 		}
-		if !notDialled(err) {
+		if !isDialError(err) {
 			return res, err
 		}
 	}
 	return res, err
 }
 
-// notDialled reports whether a request failed because no connection could be opened, so that it
+// isDialError reports whether a request failed because no connection could be opened, so that it
 // certainly did not run.
-func notDialled(err error) bool {
-	var failed *net.OpError
-	return errors.As(err, &failed) && failed.Op == "dial"
+func isDialError(err error) bool {
+	var opError *net.OpError
+	return errors.As(err, &opError) && opError.Op == "dial"
 }
 
-// request builds the request for the router with the given index, modulo the number of routers.
-func (c *caller) request(ctx context.Context, a scenario.Arrival, index int) (*http.Request, error) {
+// newRequest builds the HTTP request for the router with the given index, modulo the number of
+// routers.
+func (c *caller) newRequest(ctx context.Context, a scenario.Arrival, index int) (*http.Request, error) {
 	router := c.fleet.routers[index%len(c.fleet.routers)]
 	url := "http://" + router.Address() + "/v1/chat/completions"
 	body := []byte(fmt.Sprintf(`{"model":%q,"stream":%t,"messages":[{"role":"user","content":%q}]}`,
@@ -128,7 +129,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Authorization", "Bearer "+keyOf(a.Organisation))
+	req.Header.Set("Authorization", "Bearer "+apiKey(a.Organisation))
 	req.Header.Set(httpcaller.HeaderDeadline, a.Deadline.String())
 	req.Header.Set(httpcaller.HeaderRepeatable, strconv.FormatBool(!a.Requests.NotRepeatable))
 	if a.Hint > 0 {
@@ -141,7 +142,7 @@
 func readWhole(body io.Reader, a scenario.Arrival, r *result) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		r.broken = true
+		r.invalid = true
 		return
 	}
 	if a.Requests.Service != "" {
@@ -156,7 +157,7 @@
 		} `json:"choices"`
 	}
 	if json.Unmarshal(data, &answer) != nil || len(answer.Choices) == 0 {
-		r.broken = true
+		r.invalid = true
 		return
 	}
 	r.content = answer.Choices[0].Message.Content
@@ -167,7 +168,7 @@
 	var content strings.Builder
 	reader := bufio.NewReader(body)
 	last := time.Time{}
-	r.broken = true
+	r.invalid = true
 	for {
 		line, err := reader.ReadSlice('\n')
 		if err != nil {
@@ -178,14 +179,14 @@
 			continue
 		}
 		if string(data) == "[DONE]" {
-			r.broken, r.outcome = false, request.Completed
+			r.invalid, r.outcome = false, request.Completed
 			break
 		}
 		now := clock.Now()
 		if last.IsZero() {
-			r.firstToken = now.Sub(start)
+			r.timeToFirstToken = now.Sub(start)
 		} else {
-			r.between = append(r.between, now.Sub(last))
+			r.tokenIntervals = append(r.tokenIntervals, now.Sub(last))
 		}
 		last = now
 		readEvent(data, &content, r)
@@ -217,8 +218,8 @@
 	}
 }
 
-// expected returns the content that the complete answer to a request must have.
-func expected(a scenario.Arrival) string {
+// expectedContent returns the content that the complete answer to a request must have.
+func expectedContent(a scenario.Arrival) string {
 	if a.Requests.Service != "" {
 		return a.Tag
 	}
--- a/internal/load/fault.go
+++ b/internal/load/fault.go
@@ -9,8 +9,8 @@
 	"github.com/stepcroft/stepcroft/internal/standin"
 )
 
-// inject turns a fault on or off at its target.
-func (f *fleet) inject(g *group.Group, fault scenario.Fault, on bool) {
+// setFault turns a fault on or off at its target.
+func (f *fleet) setFault(g *group.Group, fault scenario.Fault, on bool) {
 	set := fault.Set
 	if !on {
 		set = standin.Faults{}
@@ -25,14 +25,14 @@
 	}
 	for i := range f.routers {
 		if fault.Target == fmt.Sprintf("r%d", i+1) {
-			f.injectRouter(g, i, fault, on)
+			f.setRouterFault(g, i, fault, on)
 		}
 	}
 }
 
-// injectRouter turns a fault on or off at the i-th router. Only a cut ends again; a router that was
-// stopped or drained stays so.
-func (f *fleet) injectRouter(g *group.Group, i int, fault scenario.Fault, on bool) {
+// setRouterFault turns a fault on or off at the i-th router. Only a cut is undone; a router that
+// was stopped or drained stays so.
+func (f *fleet) setRouterFault(g *group.Group, i int, fault scenario.Fault, on bool) {
 	r := f.routers[i]
 	switch {
 	case fault.Action == "cut" && on:
--- a/internal/load/fleet.go
+++ b/internal/load/fleet.go
@@ -28,14 +28,14 @@
 	engines  map[string]*standin.Engine
 	services []*standin.Service
 	routers  []*router.Router
-	// clients are the routers' clients of the platform.
-	clients []*platform.Client
+	// platformClients are the routers' clients of the platform.
+	platformClients []*platform.Client
 	// stopped holds the indexes of the routers that a fault stopped.
 	stopped map[int]bool
 }
 
-// keyOf returns the API key of an organisation.
-func keyOf(organisation string) string { return "key-of-" + organisation }
+// apiKey returns the API key of an organisation.
+func apiKey(organisation string) string { return "key-of-" + organisation }
 
 // startFleet starts the stand-ins and routers of a scenario. An empty policy leaves each pool its
 // own.
@@ -59,7 +59,7 @@
 	if err := f.startServices(s, l); err != nil {
 		return err
 	}
-	if err := f.seed(s); err != nil {
+	if err := f.seedObjects(s); err != nil {
 		return err
 	}
 	return f.startRouters(s, o, policy)
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// seed writes the scenario's pools and organisations to the platform.
-func (f *fleet) seed(s *scenario.Scenario) error {
+// seedObjects writes the scenario's pools and organisations to the platform.
+func (f *fleet) seedObjects(s *scenario.Scenario) error {
 	for _, p := range s.Pools {
 		spec := config.Pool{Name: p.Name, Policy: p.Policy, PromptCost: p.PromptCost}
 		if spec.Policy == "" {
@@ -124,7 +124,7 @@
 	for _, o := range s.Organisations {
 		spec := config.Organisation{
 			Name: o.Name, Weight: o.Weight, Priority: o.Priority, Limits: o.Limits,
-			Keys: []string{config.HashKey(keyOf(o.Name))},
+			Keys: []string{config.HashKey(apiKey(o.Name))},
 		}
 		if err := f.platform.Seed(config.KindOrganisation, o.Name, spec); err != nil {
 			return err
@@ -142,7 +142,7 @@
 	}
 	for i := range n {
 		client := platform.New(f.platform.Address())
-		f.clients = append(f.clients, client)
+		f.platformClients = append(f.platformClients, client)
 		name := fmt.Sprintf("r%d", i+1)
 		zone := s.Zones[i%len(s.Zones)]
 		r, err := router.New(router.Options{
@@ -161,16 +161,16 @@
 			return err
 		}
 	}
-	return f.settle(n)
+	return f.waitReady(n)
 }
 
-// settle waits until each of the n routers knows all the others and every engine has an owner.
-func (f *fleet) settle(n int) error {
+// waitReady waits until each of the n routers knows all the others and every engine has an owner.
+func (f *fleet) waitReady(n int) error {
 	deadline := clock.Now().Add(20 * time.Second)
 	for _, r := range f.routers {
 		for {
 			status := r.Status()
-			if status.Routers == n && status.ViewAge < time.Minute && f.owned() == len(f.engines) {
+			if status.Routers == n && status.ViewAge < time.Minute && f.ownedEngines() == len(f.engines) {
 				break
 			}
 			if clock.Now().After(deadline) {
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// owned returns the number of engines that routers own.
-func (f *fleet) owned() int {
+// ownedEngines returns the number of engines that routers own.
+func (f *fleet) ownedEngines() int {
 	n := 0
 	for _, r := range f.routers {
 		n += r.Status().OwnedEngines
@@ -198,7 +198,7 @@
 			r.Stop()
 		}
 	}
-	for _, c := range f.clients {
+	for _, c := range f.platformClients {
 		c.Stop()
 	}
 	for _, e := range f.engines {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -64,11 +64,11 @@
 
 func runPolicy(ctx context.Context, s *scenario.Scenario, o Options, policy string, arrivals []scenario.Arrival) (report.PolicyResult, error) {
 	l := ledger.New(s)
-	named := policy
+	routerPolicy := policy
 	if policy == "default" {
-		named = ""
+		routerPolicy = ""
 	}
-	f, err := startFleet(s, o, named, l)
+	f, err := startFleet(s, o, routerPolicy, l)
 	if err != nil {
 		return report.PolicyResult{}, err
 	}
@@ -79,32 +79,32 @@
 	defer r.caller.stop()
 	before := f.traffic()
 	start := clock.Now()
-	r.group.GoContext(func(ctx context.Context) { r.sample(ctx, o, policy, start) })
-	r.group.GoContext(func(ctx context.Context) { r.inject(ctx, start) })
-	r.arrive(arrivals, start)
+	r.group.GoContext(func(ctx context.Context) { r.sampleLedger(ctx, o, policy, start) })
+	r.group.GoContext(func(ctx context.Context) { r.injectFaults(ctx, start) })
+	r.sendArrivals(arrivals, start)
 	group.SleepUntil(r.group.Context(), start.Add(time.Duration(s.Duration)))
 	took := clock.Since(start)
 	traffic := f.traffic().since(before)
 	measured := measure(l)
 	r.group.Stop()
-	measured.count(l)
+	measured.addFinalCounts(l)
 	return r.tally.result(policy, measured, traffic, took), ctx.Err()
 }
 
-// arrive starts each request at its time, without waiting for the answers of earlier ones.
-func (r *run) arrive(arrivals []scenario.Arrival, start time.Time) {
+// sendArrivals starts each request at its time, without waiting for the answers of earlier ones.
+func (r *run) sendArrivals(arrivals []scenario.Arrival, start time.Time) {
 	ctx := r.group.Context()
 	for _, a := range arrivals {
 		if !group.SleepUntil(ctx, start.Add(a.At)) {
 			return
 		}
 		r.ledger.Submitted(a)
-		r.group.GoContext(func(ctx context.Context) { r.one(ctx, a) })
+		r.group.GoContext(func(ctx context.Context) { r.sendRequest(ctx, a) })
 	}
 }
 
-// one sends a request and counts its result.
-func (r *run) one(ctx context.Context, a scenario.Arrival) {
+// sendRequest sends a request and counts its result.
+func (r *run) sendRequest(ctx context.Context, a scenario.Arrival) {
 	ctx, cancel := context.WithTimeout(ctx, a.Deadline+5*time.Second)
 	defer cancel()
 	got := r.caller.do(ctx, a)
@@ -114,8 +114,8 @@
 	r.tally.add(a, got)
 }
 
-// sample takes samples of the ledger and prints progress lines until the run ends.
-func (r *run) sample(ctx context.Context, o Options, policy string, start time.Time) {
+// sampleLedger takes samples of the ledger and prints progress lines until the run ends.
+func (r *run) sampleLedger(ctx context.Context, o Options, policy string, start time.Time) {
 	ticker := time.NewTicker(ledger.SampleInterval)
 	defer ticker.Stop()
 	nextLine := time.Second
@@ -136,8 +136,8 @@
 	}
 }
 
-// inject turns the scenario's faults on and off at their times.
-func (r *run) inject(ctx context.Context, start time.Time) {
+// injectFaults turns the scenario's faults on and off at their times.
+func (r *run) injectFaults(ctx context.Context, start time.Time) {
 	type step struct {
 		at    time.Duration
 		fault scenario.Fault
@@ -155,11 +155,11 @@
 		if !group.SleepUntil(ctx, start.Add(s.at)) {
 			return
 		}
-		r.fleet.inject(r.group, s.fault, s.on)
+		r.fleet.setFault(r.group, s.fault, s.on)
 	}
 }
 
-// ended reports whether o is one of the outcomes that an answer to a caller may have.
-func ended(o request.Outcome) bool {
+// isAnswerOutcome reports whether o is one of the outcomes that an answer to a caller may have.
+func isAnswerOutcome(o request.Outcome) bool {
 	return o == request.Completed || o == request.NotRun || o == request.Unknown
 }
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -12,8 +12,8 @@
 	"github.com/stepcroft/stepcroft/internal/scenario"
 )
 
-// measured holds what is computed from the ledger at the end of a run.
-type measured struct {
+// measurements holds what is computed from the ledger at the end of a run.
+type measurements struct {
 	// gap is the largest fairness gap, and series the gap over time.
 	gap    ledger.Gap
 	series []float64
@@ -24,20 +24,20 @@
 	// and notRunButRan those that ran although callers were told that they did not. Both are
 	// counted after the last request has ended.
 	doubled, notRunButRan int
-	// service is the cost served for each organisation.
-	service map[string]float64
+	// servedCost is the cost served for each organisation.
+	servedCost map[string]float64
 }
 
 // measure reads the ledger when the load ends, before unfinished requests are cancelled.
-func measure(l *ledger.Ledger) measured {
-	m := measured{service: l.ServedCost()}
+func measure(l *ledger.Ledger) measurements {
+	m := measurements{servedCost: l.ServedCost()}
 	m.gap, m.series = l.Gaps()
 	m.busy, m.idle = l.Utilisation()
 	return m
 }
 
-// count reads the counts that are final only after all requests have ended.
-func (m *measured) count(l *ledger.Ledger) {
+// addFinalCounts adds the counts that are final only after all requests have ended.
+func (m *measurements) addFinalCounts(l *ledger.Ledger) {
 	m.doubled, m.notRunButRan = l.RunTwice(), l.NotRunButRan()
 }
 
@@ -50,8 +50,9 @@
 	organisations                            map[string]*organisationTally
 	// order holds the organisations' names in the order of the scenario.
 	order []string
-	// first and between hold the times to the first token and between tokens, in microseconds.
-	first, between *hdrhistogram.Histogram
+	// firstToken and betweenTokens hold the times to the first token and between tokens, in
+	// microseconds.
+	firstToken, betweenTokens *hdrhistogram.Histogram
 }
 
 // organisationTally counts the results of one organisation's requests.
@@ -60,16 +61,16 @@
 	completed int
 	// refused counts the requests that did not complete, by reason.
 	refused map[request.Reason]int
-	// first holds the times to the first token, in microseconds.
-	first *hdrhistogram.Histogram
+	// firstToken holds the times to the first token, in microseconds.
+	firstToken *hdrhistogram.Histogram
 }
 
 func newTally(s *scenario.Scenario) *tally {
-	t := &tally{organisations: map[string]*organisationTally{}, first: report.NewHistogram(), between: report.NewHistogram()}
+	t := &tally{organisations: map[string]*organisationTally{}, firstToken: report.NewHistogram(), betweenTokens: report.NewHistogram()}
 	for _, o := range s.Organisations {
 		t.order = append(t.order, o.Name)
 		t.organisations[o.Name] = &organisationTally{
-			weight: o.EffectiveWeight(), refused: map[request.Reason]int{}, first: report.NewHistogram(),
+			weight: o.EffectiveWeight(), refused: map[request.Reason]int{}, firstToken: report.NewHistogram(),
 		}
 	}
 	return t
@@ -81,13 +82,13 @@
 	switch {
 	case r.unfinished:
 		t.unfinished++
-	case !ended(r.outcome):
+	case !isAnswerOutcome(r.outcome):
 		t.lost++
 	case r.outcome == request.NotRun:
 		o.refused[r.reason]++
-	case r.outcome == request.Unknown || r.broken:
+	case r.outcome == request.Unknown || r.invalid:
 		o.refused[r.reason]++
-	case r.content != expected(a):
+	case r.content != expectedContent(a):
 		t.wrong++
 	default:
 		t.complete(o, a, r)
@@ -98,15 +99,15 @@
 func (t *tally) complete(o *organisationTally, a scenario.Arrival, r result) {
 	t.completed++
 	o.completed++
-	if r.took > a.Deadline {
+	if r.duration > a.Deadline {
 		t.late++
 	}
-	if r.firstToken > 0 {
-		_ = t.first.RecordValue(r.firstToken.Microseconds())
-		_ = o.first.RecordValue(r.firstToken.Microseconds())
+	if r.timeToFirstToken > 0 {
+		_ = t.firstToken.RecordValue(r.timeToFirstToken.Microseconds())
+		_ = o.firstToken.RecordValue(r.timeToFirstToken.Microseconds())
 	}
-	for _, d := range r.between {
-		_ = t.between.RecordValue(d.Microseconds())
+	for _, d := range r.tokenIntervals {
+		_ = t.betweenTokens.RecordValue(d.Microseconds())
 	}
 }
 
@@ -122,21 +123,21 @@
 }
 
 // result returns the report of a run that took the given time.
-func (t *tally) result(policy string, m measured, all traffic, took time.Duration) report.PolicyResult {
-	perRouter := took.Seconds() * float64(len(all.routers))
-	c := all.sum()
+func (t *tally) result(policy string, m measurements, totals traffic, took time.Duration) report.PolicyResult {
+	routerSeconds := took.Seconds() * float64(len(totals.routers))
+	total := totals.sum()
 	p := report.PolicyResult{
 		Policy: policy, Gap: m.gap.Size, GapBetween: m.gap, GapSeries: m.series, Utilisation: m.busy, IdleWhileWaiting: m.idle,
-		ControlBytesPerRouterSecond:    float64(c.bytes) / perRouter,
-		ControlMessagesPerRouterSecond: float64(c.messages) / perRouter,
-		StoreCallsPerSecond:            float64(all.calls) / took.Seconds(),
-		RemoteFraction:                 part(c.granted-c.declined, c.granted-c.declined+c.local),
-		DeclinedFraction:               part(c.declined, c.granted),
-		SubstitutedFraction:            part(c.substituted, c.granted),
+		ControlBytesPerRouterSecond:    float64(total.bytes) / routerSeconds,
+		ControlMessagesPerRouterSecond: float64(total.messages) / routerSeconds,
+		StoreCallsPerSecond:            float64(totals.platformCalls) / took.Seconds(),
+		RemoteFraction:                 fraction(total.granted-total.declined, total.granted-total.declined+total.local),
+		DeclinedFraction:               fraction(total.declined, total.granted),
+		SubstitutedFraction:            fraction(total.substituted, total.granted),
 		Completed:                      t.completed, Late: t.late, Lost: t.lost, Doubled: m.doubled,
 		Wrong: t.wrong, NotRunButRan: m.notRunButRan, Violations: invariant.Total(), Unfinished: t.unfinished,
-		FirstTokenMS: report.NewQuantiles(t.first), BetweenTokensMS: report.NewQuantiles(t.between),
-		Refused: map[request.Reason]int{}, Seconds: took.Seconds(), Routers: all.results(took),
+		FirstTokenMS: report.NewQuantiles(t.firstToken), BetweenTokensMS: report.NewQuantiles(t.betweenTokens),
+		Refused: map[request.Reason]int{}, Seconds: took.Seconds(), Routers: totals.results(took),
 	}
 	for _, name := range t.order {
 		o := t.organisations[name]
@@ -144,15 +145,15 @@
 			p.Refused[reason] += n
 		}
 		p.Organisations = append(p.Organisations, report.OrganisationResult{
-			Organisation: name, Weight: o.weight, Completed: o.completed, Served: m.service[name],
-			Refused: o.refused, FirstTokenMS: report.NewQuantiles(o.first),
+			Organisation: name, Weight: o.weight, Completed: o.completed, Served: m.servedCost[name],
+			Refused: o.refused, FirstTokenMS: report.NewQuantiles(o.firstToken),
 		})
 	}
 	return p
 }
 
-// part returns n as a fraction of a total, or 0 if there is no total.
-func part(n, of int64) float64 {
+// fraction returns n as a fraction of a total, or 0 if there is no total.
+func fraction(n, of int64) float64 {
 	if of <= 0 {
 		return 0
 	}
--- a/internal/load/traffic.go
+++ b/internal/load/traffic.go
@@ -10,8 +10,8 @@
 // for an interval.
 type traffic struct {
 	routers []routerTraffic
-	// calls is the number of calls that the platform received.
-	calls int64
+	// platformCalls is the number of calls that the platform received.
+	platformCalls int64
 }
 
 // routerTraffic holds the totals of one router.
@@ -34,17 +34,17 @@
 
 // traffic returns the totals so far. Those of a stopped router are 0.
 func (f *fleet) traffic() traffic {
-	t := traffic{calls: f.platform.Calls()}
+	t := traffic{platformCalls: f.platform.Calls()}
 	for i, r := range f.routers {
-		one := routerTraffic{name: string(r.Self().ID)}
+		current := routerTraffic{name: string(r.Self().ID)}
 		if !f.stopped[i] {
 			peers, status := r.PeerStats(), r.Status()
-			one.engines = status.OwnedEngines
-			one.bytes, one.messages = peers.Bytes, peers.Messages
-			one.granted, one.declined = status.Granted, status.GrantsDeclined
-			one.local, one.substituted = status.LocalDispatches, status.Substituted
+			current.engines = status.OwnedEngines
+			current.bytes, current.messages = peers.Bytes, peers.Messages
+			current.granted, current.declined = status.Granted, status.GrantsDeclined
+			current.local, current.substituted = status.LocalDispatches, status.Substituted
 		}
-		t.routers = append(t.routers, one)
+		t.routers = append(t.routers, current)
 	}
 	return t
 }
@@ -52,7 +52,7 @@
 // since returns the increase since earlier totals. For a router that was stopped in between, whose
 // totals are gone, it is 0.
 func (t traffic) since(before traffic) traffic {
-	t.calls -= before.calls
+	t.platformCalls -= before.platformCalls
 	for i, b := range before.routers {
 		r := &t.routers[i]
 		r.bytes = max(r.bytes-b.bytes, 0)
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -42,16 +42,16 @@
 		o := &s.Organisations[i]
 		for j := range o.Requests {
 			r := rand.New(rand.NewPCG(seed, uint64(i*1000+j)))
-			all = append(all, s.planRequests(o, j, r)...)
+			all = append(all, s.drawArrivals(o, j, r)...)
 		}
 	}
 	slices.SortStableFunc(all, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	return all
 }
 
-// planRequests draws the arrivals of o.Requests[index], a Poisson process whose rate is raised
+// drawArrivals draws the arrivals of o.Requests[index], a Poisson process whose rate is raised
 // during a flood.
-func (s *Scenario) planRequests(o *Organisation, index int, r *rand.Rand) []Arrival {
+func (s *Scenario) drawArrivals(o *Organisation, index int, r *rand.Rand) []Arrival {
 	q := &o.Requests[index]
 	routers := r.Perm(s.Routers)
 	if q.Routers > 0 {
@@ -60,7 +60,7 @@
 	var list []Arrival
 	at := time.Duration(0)
 	for n := 0; ; n++ {
-		rate := q.Rate * q.Flood.factor(at)
+		rate := q.Rate * q.Flood.factorAt(at)
 		at += time.Duration(r.ExpFloat64() / rate * float64(time.Second))
 		if at >= time.Duration(s.Duration) {
 			return list
@@ -70,40 +70,40 @@
 			Tag:          fmt.Sprintf("%s-%d-%d", o.Name, index, n),
 			Organisation: o.Name,
 			Requests:     q,
-			Router:       q.land(routers, r),
+			Router:       q.drawRouter(routers, r),
 			Tokens:       q.Tokens.draw(r),
 			Prompt:       q.Prompt.draw(r),
 			Stream:       r.Float64() < q.Streamed,
 			Deadline:     cmp.Or(time.Duration(q.Deadline), defaultDeadline),
 		})
 		last := &list[len(list)-1]
-		last.Hint = q.hint(last.Tokens, r)
+		last.Hint = q.drawHint(last.Tokens, r)
 	}
 }
 
-// factor returns by how much the flood multiplies the rate at a time after the start.
-func (f Flood) factor(at time.Duration) float64 {
+// factorAt returns by how much the flood multiplies the rate at a time after the start.
+func (f Flood) factorAt(at time.Duration) float64 {
 	if f.Factor == 0 || at < time.Duration(f.At) || at >= time.Duration(f.At+f.For) {
 		return 1
 	}
 	return f.Factor
 }
 
-// land draws the router of a request from the given ones.
-func (q *Requests) land(routers []int, r *rand.Rand) int {
+// drawRouter draws the router of a request from the given ones.
+func (q *Requests) drawRouter(routers []int, r *rand.Rand) int {
 	if r.Float64() < q.Skew {
 		return routers[0]
 	}
 	return routers[r.IntN(len(routers))]
 }
 
-// hint draws a cost hint that is too high or too low by a factor of up to HintError.
-func (q *Requests) hint(tokens int, r *rand.Rand) float64 {
+// drawHint draws a cost hint that is too high or too low by a factor of up to HintError.
+func (q *Requests) drawHint(tokens int, r *rand.Rand) float64 {
 	if q.HintError == 0 {
 		return 0
 	}
-	wrong := math.Exp((2*r.Float64() - 1) * math.Log(q.HintError))
-	return max(1, float64(tokens)*wrong)
+	deviation := math.Exp((2*r.Float64() - 1) * math.Log(q.HintError))
+	return max(1, float64(tokens)*deviation)
 }
 
 // draw returns a random token count of at least 1.
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -141,7 +141,7 @@
 func (s Scenario) checkNames() []settings.Problem {
 	var problems []settings.Problem
 	seen := map[string]bool{}
-	note := func(kind string, i int, name string) {
+	checkUnique := func(kind string, i int, name string) {
 		if key := kind + name; !seen[key] {
 			seen[key] = true
 			return
@@ -151,13 +151,13 @@
 		})
 	}
 	for i, p := range s.Pools {
-		note("pools", i, p.Name)
+		checkUnique("pools", i, p.Name)
 	}
 	for i, v := range s.Services {
-		note("services", i, v.Name)
+		checkUnique("services", i, v.Name)
 	}
 	for i, o := range s.Organisations {
-		note("organisations", i, o.Name)
+		checkUnique("organisations", i, o.Name)
 	}
 	return problems
 }
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -110,23 +110,23 @@
 // decoded twice: into a T, and into a node that has the line numbers for the faults.
 func DecodeAll[T any](file string, data []byte) ([]T, error) {
 	var (
-		docs   []T
-		faults Faults
-		nodes  = yaml.NewDecoder(bytes.NewReader(data))
-		typed  = yaml.NewDecoder(bytes.NewReader(data))
+		docs        []T
+		faults      Faults
+		nodeDecoder = yaml.NewDecoder(bytes.NewReader(data))
+		typeDecoder = yaml.NewDecoder(bytes.NewReader(data))
 	)
-	typed.KnownFields(true)
+	typeDecoder.KnownFields(true)
 	for {
 		var (
 			node yaml.Node
 			doc  T
 		)
-		if err := nodes.Decode(&node); errors.Is(err, io.EOF) {
+		if err := nodeDecoder.Decode(&node); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
 			return nil, append(faults, syntaxFault(file, err))
 		}
-		faults = append(faults, typeFaults(file, &node, typed.Decode(&doc))...)
+		faults = append(faults, typeFaults(file, &node, typeDecoder.Decode(&doc))...)
 		faults = append(faults, valueFaults(file, &node, doc)...)
 		docs = append(docs, doc)
 	}
@@ -139,13 +139,13 @@
 
 // syntaxFault returns the fault for an error of the YAML parser, which stops at the first one.
 func syntaxFault(file string, err error) Fault {
-	line, problem := splitLine(strings.TrimPrefix(err.Error(), "yaml: "))
+	line, problem := splitLineNumber(strings.TrimPrefix(err.Error(), "yaml: "))
 	return Fault{File: file, Line: line, Problem: problem}
 }
 
-// splitLine splits a message of the YAML library, "line N: problem", into line number and problem.
-// The line is 1 if the message has none.
-func splitLine(text string) (int, string) {
+// splitLineNumber splits a message of the YAML library, "line N: problem", into line number and
+// problem. The line is 1 if the message has none.
+func splitLineNumber(text string) (int, string) {
 	rest, ok := strings.CutPrefix(text, "line ")
 	if !ok {
 		return 1, text
@@ -170,44 +170,44 @@
 	}
 	var faults Faults
 	for _, text := range typeError.Errors {
-		line, problem := splitLine(text)
+		line, problem := splitLineNumber(text)
 		if field, _, ok := strings.Cut(problem, " not found in type"); ok {
 			problem = "unknown " + field
 		}
-		field, _ := fieldOf(node, "", line, problem)
+		field, _ := findField(node, "", line, problem)
 		faults = append(faults, Fault{File: file, Line: line, Field: field, Problem: problem})
 	}
 	return faults
 }
 
-// fieldOf returns the path of the scalar value that stands on the given line and is quoted in the
+// findField returns the path of the scalar value that stands on the given line and is quoted in the
 // problem, a message of the YAML library. It returns false if node has none.
-func fieldOf(node *yaml.Node, path string, line int, problem string) (string, bool) {
+func findField(node *yaml.Node, path string, line int, problem string) (string, bool) {
 	quoted := strings.Contains(problem, "`"+node.Value+"`") || strings.Contains(problem, strconv.Quote(node.Value))
 	if node.Kind == yaml.ScalarNode && node.Line == line && quoted {
 		return path, true
 	}
-	for i, next := range node.Content {
-		step := path
+	for i, item := range node.Content {
+		childPath := path
 		switch node.Kind {
 		case yaml.MappingNode:
 			if i%2 == 0 {
 				continue
 			}
-			step = strings.TrimPrefix(path+"."+node.Content[i-1].Value, ".")
+			childPath = strings.TrimPrefix(path+"."+node.Content[i-1].Value, ".")
 		case yaml.SequenceNode:
-			step = fmt.Sprintf("%s[%d]", path, i)
+			childPath = fmt.Sprintf("%s[%d]", path, i)
 		}
-		if found, ok := fieldOf(next, step, line, problem); ok {
+		if found, ok := findField(item, childPath, line, problem); ok {
 			return found, true
 		}
 	}
 	return "", false
 }
 
-var checker = newChecker()
+var validate = newValidator()
 
-func newChecker() *validator.Validate {
+func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
@@ -256,11 +256,11 @@
 func valueFaults(file string, node *yaml.Node, doc any) Faults {
 	var faults Faults
 	var invalid validator.ValidationErrors
-	if err := checker.Struct(doc); errors.As(err, &invalid) {
+	if err := validate.Struct(doc); errors.As(err, &invalid) {
 		for _, e := range invalid {
 			_, path, _ := strings.Cut(e.Namespace(), ".")
 			faults = append(faults, Fault{
-				File: file, Line: lineOf(node, path), Field: path, Problem: explain(e),
+				File: file, Line: lineOf(node, path), Field: path, Problem: describeViolation(e),
 			})
 		}
 	}
@@ -272,8 +272,8 @@
 	return faults
 }
 
-// explain returns the text for a value that breaks the rule of a validate tag.
-func explain(e validator.FieldError) string {
+// describeViolation returns the text for a value that breaks the rule of a validate tag.
+func describeViolation(e validator.FieldError) string {
 	param := e.Param()
 	if d, ok := durationParam(e); ok {
 		param = d
@@ -314,28 +314,28 @@
 		node = node.Content[0]
 	}
 	line := node.Line
-	for step := range strings.FieldsFuncSeq(path, func(r rune) bool { return r == '.' || r == '[' || r == ']' }) {
-		next := child(node, step)
-		if next == nil {
+	for key := range strings.FieldsFuncSeq(path, func(r rune) bool { return r == '.' || r == '[' || r == ']' }) {
+		value := childNode(node, key)
+		if value == nil {
 			return line
 		}
-		node, line = next, next.Line
+		node, line = value, value.Line
 	}
 	return line
 }
 
-// child returns the value of a mapping at a key or of a sequence at an index, or nil if there is
+// childNode returns the value of a mapping at a key or of a sequence at an index, or nil if there is
 // none.
-func child(node *yaml.Node, step string) *yaml.Node {
+func childNode(node *yaml.Node, key string) *yaml.Node {
 	switch node.Kind {
 	case yaml.MappingNode:
 		for i := 0; i+1 < len(node.Content); i += 2 {
-			if node.Content[i].Value == step {
+			if node.Content[i].Value == key {
 				return node.Content[i+1]
 			}
 		}
 	case yaml.SequenceNode:
-		if i, err := strconv.Atoi(step); err == nil && i < len(node.Content) {
+		if i, err := strconv.Atoi(key); err == nil && i < len(node.Content) {
 			return node.Content[i]
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -49,7 +49,7 @@
 	problems = checkAddress(problems, "peer_listen", r.PeerListen)
 	problems = checkAddress(problems, "admin_listen", r.AdminListen)
 	problems = checkAddress(problems, "platform", r.Platform)
-	if r.Listen != "" && r.Listen == r.PeerListen && !anyPort(r.Listen) {
+	if r.Listen != "" && r.Listen == r.PeerListen && !hasPortZero(r.Listen) {
 		problems = append(problems, Problem{"peer_listen", "is the same address as listen"})
 	}
 	if r.Timeout != 0 && r.ReportPeriod != 0 && r.Timeout < 2*r.ReportPeriod {
@@ -69,8 +69,8 @@
 	return problems
 }
 
-// anyPort reports whether the address has port 0, for which the system chooses a free port.
-func anyPort(address string) bool {
+// hasPortZero reports whether the address has port 0, for which the system chooses a free port.
+func hasPortZero(address string) bool {
 	_, port, err := net.SplitHostPort(address)
 	return err == nil && port == "0"
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -64,16 +64,16 @@
 	mu      sync.Mutex
 	running int
 	queue   waiters
-	// next is the last sequence number given to a waiter.
-	next int
-	// loads holds past loads, oldest first, for reports that are late.
-	loads []timedLoad
-	// broken holds the answers that broke off, by request ID.
-	broken map[string]brokenAnswer
-	// epoch is the highest epoch of an order received.
-	epoch  uint64
-	orders []port.Order
-	cache  *prefixCache
+	// lastSequence is the last sequence number given to a waiter.
+	lastSequence int
+	// pastLoads holds past loads, oldest first, for late load reports.
+	pastLoads []timedLoad
+	// brokenAnswers holds the answers that broke off, by request ID.
+	brokenAnswers map[string]brokenAnswer
+	// highestEpoch is the highest epoch of an order received.
+	highestEpoch uint64
+	orders       []port.Order
+	cache        *prefixCache
 }
 
 // brokenAnswer is an answer that broke off and can be continued.
@@ -95,7 +95,7 @@
 
 // NewEngine starts an engine that listens on o.Address.
 func NewEngine(o EngineOptions) (*Engine, error) {
-	e := &Engine{options: o, broken: map[string]brokenAnswer{}, cache: newPrefixCache(o.CacheTokens)}
+	e := &Engine{options: o, brokenAnswers: map[string]brokenAnswer{}, cache: newPrefixCache(o.CacheTokens)}
 	var err error
 	e.server, err = httpserver.New(o.Address, e, httpserver.Options{MaxConnections: 4096, Pollers: 1})
 	return e, err
@@ -110,10 +110,10 @@
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/faults" {
-		e.serve(w, r)
+		e.serveFaults(w, r)
 		return
 	}
-	if !e.hold(w) {
+	if !e.applyFaults(w) {
 		return
 	}
 	switch path := r.URL.Path; {
@@ -135,7 +135,7 @@
 // load returns the engine's load. If load reports are late, it is the load of that time ago, as far
 // as it was recorded: each call records one.
 func (e *Engine) load() port.EngineLoad {
-	f := e.get()
+	f := e.faults()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := clock.Now()
@@ -143,12 +143,12 @@
 	if f.LateLoadMS == 0 {
 		return current
 	}
-	e.loads = append(e.loads, timedLoad{now, current})
+	e.pastLoads = append(e.pastLoads, timedLoad{now, current})
 	due := now.Add(-time.Duration(f.LateLoadMS) * time.Millisecond)
-	for len(e.loads) > 1 && e.loads[1].at.Before(due) {
-		e.loads = e.loads[1:]
+	for len(e.pastLoads) > 1 && e.pastLoads[1].at.Before(due) {
+		e.pastLoads = e.pastLoads[1:]
 	}
-	late := e.loads[0].load
+	late := e.pastLoads[0].load
 	late.Leaving = f.Leaving
 	return late
 }
@@ -175,18 +175,19 @@
 // job is the work that a request's prompt asks for.
 type job struct {
 	tag string
-	// prompt is the number of prompt tokens.
-	prompt int
+	// promptTokens is the number of tokens in the prompt.
+	promptTokens int
 	// tokens is the number of tokens to generate.
 	tokens int
-	// cached is the number of prompt tokens whose prefix is cached, which take no time.
-	cached int
+	// cachedTokens is the number of prompt tokens whose prefix is cached; processing them
+	// takes no time.
+	cachedTokens int
 }
 
 // parseJob parses the content of a message made with Prompt. What is missing is estimated from the
 // length of the content or gets a default.
 func parseJob(content string) job {
-	j := job{tag: "none", prompt: len(content)/bytesPerToken + 1, tokens: 16}
+	j := job{tag: "none", promptTokens: len(content)/bytesPerToken + 1, tokens: 16}
 	for field := range strings.FieldsSeq(content) {
 		name, value, _ := strings.Cut(field, "=")
 		n, err := strconv.Atoi(value)
@@ -194,7 +195,7 @@
 		case name == "tag":
 			j.tag = value
 		case name == "prompt" && err == nil:
-			j.prompt = n
+			j.promptTokens = n
 		case name == "tokens" && err == nil:
 			j.tokens = n
 		}
@@ -205,7 +206,7 @@
 // complete serves a chat completion. A request with several messages is taken to have the first one
 // as shared prompt prefix.
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	if f := e.get(); f.Leaving || f.Refuse {
+	if f := e.faults(); f.Leaving || f.Refuse {
 		w.Header().Set(engine.HeaderNotRun, "1")
 		http.Error(w, "not taking requests", http.StatusServiceUnavailable)
 		return
@@ -220,12 +221,12 @@
 	j := parseJob(body.Messages[len(body.Messages)-1].Content)
 	if len(body.Messages) > 1 {
 		first := body.Messages[0].Content
-		j.cached = min(e.cache.use(PrefixKey(first), len(first)/bytesPerToken+1), j.prompt)
+		j.cachedTokens = min(e.cache.lookupOrAdd(PrefixKey(first), len(first)/bytesPerToken+1), j.promptTokens)
 	}
 	from, resumed := 0, r.Header.Get(engine.HeaderResumeFrom) != ""
 	if resumed {
 		from, _ = strconv.Atoi(r.Header.Get(engine.HeaderResumeFrom))
-		if !e.continues(r.Header.Get(engine.HeaderRequestID), from) {
+		if !e.takeBrokenAnswer(r.Header.Get(engine.HeaderRequestID), from) {
 			w.Header().Set(engine.HeaderNotRun, "1")
 			http.Error(w, "no such answer to continue", http.StatusConflict)
 			return
@@ -236,60 +237,60 @@
 		return
 	}
 	defer e.release()
-	e.run(w, j, r.Header.Get(engine.HeaderRequestID), from, resumed)
+	e.generate(w, j, r.Header.Get(engine.HeaderRequestID), from, resumed)
 }
 
-// continues reports whether the answer to a request can be continued after its first events, whose
-// number is from: it broke off here, not too long ago and not before that event. The answer is
-// forgotten either way.
-func (e *Engine) continues(id string, from int) bool {
+// takeBrokenAnswer reports whether the answer to a request can be continued after its first from
+// events: it broke off at this engine, within resumeWindow and after at least that many events. The
+// answer is forgotten either way.
+func (e *Engine) takeBrokenAnswer(id string, from int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	b, ok := e.broken[id]
-	delete(e.broken, id)
-	return ok && !e.get().ForgetBroken && from <= b.events && clock.Since(b.at) < resumeWindow
+	b, ok := e.brokenAnswers[id]
+	delete(e.brokenAnswers, id)
+	return ok && !e.faults().ForgetBroken && from <= b.events && clock.Since(b.at) < resumeWindow
 }
 
-// breakOff remembers an answer that broke off, and forgets those that are too old.
-func (e *Engine) breakOff(id string, j job, events int) {
+// storeBrokenAnswer remembers an answer that broke off, and forgets those that are too old.
+func (e *Engine) storeBrokenAnswer(id string, j job, events int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := clock.Now()
-	for other, b := range e.broken {
+	for other, b := range e.brokenAnswers {
 		if now.Sub(b.at) >= resumeWindow {
-			delete(e.broken, other)
+			delete(e.brokenAnswers, other)
 		}
 	}
-	e.broken[id] = brokenAnswer{job: j, events: events, at: now}
+	e.brokenAnswers[id] = brokenAnswer{job: j, events: events, at: now}
 }
 
-// run processes a job's prompt and writes its tokens, beginning with the token from, at the
+// generate processes a job's prompt and writes its tokens, beginning with the token from, at the
 // engine's rate. A resumed job skips the processing of the prompt.
-func (e *Engine) run(w http.ResponseWriter, j job, id string, from int, resumed bool) {
+func (e *Engine) generate(w http.ResponseWriter, j job, id string, from int, resumed bool) {
 	whole := false
-	e.began(j, resumed)
-	defer func() { e.ended(j, whole) }()
+	e.notifyStarted(j, resumed)
+	defer func() { e.notifyEnded(j, whole) }()
 	w.Header().Set("Content-Type", "text/event-stream")
 	if !resumed {
 		if e.options.PrefillRate > 0 {
-			time.Sleep(time.Duration(float64(j.prompt-j.cached) / e.options.PrefillRate * float64(time.Second)))
+			time.Sleep(time.Duration(float64(j.promptTokens-j.cachedTokens) / e.options.PrefillRate * float64(time.Second)))
 		}
-		e.served(j, float64(j.prompt)*e.options.PromptCost)
+		e.notifyServed(j, float64(j.promptTokens)*e.options.PromptCost)
 	}
 	next := clock.Now()
 	for i := from; i < j.tokens; i++ {
 		next = next.Add(e.options.TokenTime)
 		time.Sleep(clock.Until(next))
 		if httpserver.CallerDisconnected(w) {
-			e.breakOff(id, j, i)
+			e.storeBrokenAnswer(id, j, i)
 			return
 		}
-		if f := e.get(); f.BreakAfter > 0 && i-from >= f.BreakAfter {
-			e.breakOff(id, j, i)
-			abort(w)
+		if f := e.faults(); f.BreakAfter > 0 && i-from >= f.BreakAfter {
+			e.storeBrokenAnswer(id, j, i)
+			closeConnection(w)
 			return
 		}
-		e.served(j, 1)
+		e.notifyServed(j, 1)
 		if _, err := io.WriteString(w, tokenEvent(Token(j.tag, i))); err != nil {
 			return
 		}
@@ -308,7 +309,7 @@
 func usageEvent(j job) string {
 	return fmt.Sprintf(`data: {"choices":[{"index":0,"delta":{},"finish_reason":"stop"}],`+
 		`"usage":{"prompt_tokens":%d,"completion_tokens":%d,"prompt_tokens_details":{"cached_tokens":%d}}}`+
-		"\n\ndata: [DONE]\n\n", j.prompt, j.tokens, j.cached)
+		"\n\ndata: [DONE]\n\n", j.promptTokens, j.tokens, j.cachedTokens)
 }
 
 // flush sends what was written so far to the caller.
@@ -318,8 +319,8 @@
 	}
 }
 
-// abort closes the connection in the middle of an answer.
-func abort(w http.ResponseWriter) {
+// closeConnection closes the connection in the middle of an answer.
+func closeConnection(w http.ResponseWriter) {
 	h, ok := w.(http.Hijacker)
 	if !ok {
 		return
@@ -329,7 +330,7 @@
 	}
 }
 
-func (e *Engine) began(j job, resumed bool) {
+func (e *Engine) notifyStarted(j job, resumed bool) {
 	switch {
 	case e.options.Observer == nil:
 	case resumed:
@@ -339,13 +340,13 @@
 	}
 }
 
-func (e *Engine) served(j job, cost float64) {
+func (e *Engine) notifyServed(j job, cost float64) {
 	if e.options.Observer != nil {
 		e.options.Observer.Served(j.tag, cost)
 	}
 }
 
-func (e *Engine) ended(j job, whole bool) {
+func (e *Engine) notifyEnded(j job, whole bool) {
 	if e.options.Observer != nil {
 		e.options.Observer.Ended(j.tag, whole)
 	}
--- a/internal/standin/enginecache.go
+++ b/internal/standin/enginecache.go
@@ -12,9 +12,9 @@
 	"github.com/stepcroft/stepcroft/internal/port"
 )
 
-// keptEvents is the number of latest cache events that an engine keeps. Older ones are dropped,
-// whether they were read or not.
-const keptEvents = 256
+// maxCacheEvents is the maximum number of cache events that an engine keeps. The oldest are dropped
+// first, whether they were read or not.
+const maxCacheEvents = 256
 
 // prefixCache is an engine's cache of processed prompt prefixes. It is limited in tokens and evicts
 // the least recently used prefix.
@@ -30,8 +30,8 @@
 	sequence uint64
 }
 
-// cached is a prefix in the cache.
-type cached struct {
+// cachedPrefix is a prefix in the cache.
+type cachedPrefix struct {
 	prefix string
 	tokens int
 }
@@ -54,14 +54,14 @@
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// use returns the number of tokens that are cached of a prefix, and adds the prefix to the cache or
-// marks it as recently used. A prefix larger than the capacity is not cached.
-func (c *prefixCache) use(prefix string, tokens int) int {
+// lookupOrAdd returns the number of cached tokens of a prefix. It adds a new prefix to the cache and
+// marks an old one as recently used. A prefix larger than the capacity is not cached.
+func (c *prefixCache) lookupOrAdd(prefix string, tokens int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e := c.entries[prefix]; e != nil {
 		c.order.MoveToFront(e)
-		return e.Value.(cached).tokens
+		return e.Value.(cachedPrefix).tokens
 	}
 	if tokens > c.capacity {
 		return 0
@@ -69,42 +69,42 @@
 	for c.used+tokens > c.capacity {
 		c.evict()
 	}
-	c.entries[prefix] = c.order.PushFront(cached{prefix, tokens})
+	c.entries[prefix] = c.order.PushFront(cachedPrefix{prefix, tokens})
 	c.used += tokens
-	c.note(prefix, tokens, true)
+	c.recordEvent(prefix, tokens, true)
 	return 0
 }
 
 // evict removes the least recently used prefix.
 func (c *prefixCache) evict() {
 	e := c.order.Back()
-	gone := e.Value.(cached)
+	evicted := e.Value.(cachedPrefix)
 	c.order.Remove(e)
-	delete(c.entries, gone.prefix)
-	c.used -= gone.tokens
-	c.note(gone.prefix, gone.tokens, false)
+	delete(c.entries, evicted.prefix)
+	c.used -= evicted.tokens
+	c.recordEvent(evicted.prefix, evicted.tokens, false)
 }
 
-// note records an event: a prefix was stored or evicted.
-func (c *prefixCache) note(prefix string, tokens int, stored bool) {
+// recordEvent records an event: a prefix was stored or evicted.
+func (c *prefixCache) recordEvent(prefix string, tokens int, stored bool) {
 	c.sequence++
 	c.events = append(c.events, timedEvent{clock.Now(), port.CacheEvent{
 		Sequence: c.sequence, Prefix: prefix, Tokens: tokens, Stored: stored,
 	}})
-	if len(c.events) > keptEvents {
+	if len(c.events) > maxCacheEvents {
 		c.events = c.events[1:]
 	}
 }
 
-// since returns the events after a sequence number that are at least of the given age. If dropped
+// since returns the events after a sequence number that are at least of the given age. If dropEvery
 // is not 0, events whose sequence number is a multiple of it are left out.
-func (c *prefixCache) since(sequence uint64, age time.Duration, dropped uint64) []port.CacheEvent {
+func (c *prefixCache) since(sequence uint64, age time.Duration, dropEvery uint64) []port.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	due := clock.Now().Add(-age)
 	var out []port.CacheEvent
 	for _, e := range c.events {
-		lost := dropped > 0 && e.event.Sequence%dropped == 0
+		lost := dropEvery > 0 && e.event.Sequence%dropEvery == 0
 		if e.event.Sequence > sequence && !e.at.After(due) && !lost {
 			out = append(out, e.event)
 		}
@@ -118,7 +118,7 @@
 		http.Error(w, "since: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	f := e.get()
+	f := e.faults()
 	events := e.cache.since(sequence, time.Duration(f.LateLoadMS)*time.Millisecond, uint64(f.DropEvents))
 	writeJSON(w, http.StatusOK, events)
 }
--- a/internal/standin/engineorders.go
+++ b/internal/standin/engineorders.go
@@ -25,18 +25,18 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.options.ChecksEpoch && o.Epoch < e.epoch {
+	if e.options.ChecksEpoch && o.Epoch < e.highestEpoch {
 		http.Error(w, "a higher epoch was seen", http.StatusConflict)
 		return
 	}
-	e.epoch = max(e.epoch, o.Epoch)
+	e.highestEpoch = max(e.highestEpoch, o.Epoch)
 	e.orders = append(e.orders, o)
 	writeJSON(w, http.StatusOK, o)
 }
 
-// exported stands for the exported KV cache of a broken answer. It holds what another stand-in
+// kvExport stands for the exported KV cache of a broken answer. It holds what another stand-in
 // needs to continue the answer.
-type exported struct {
+type kvExport struct {
 	Content string `json:"content"`
 	Events  int    `json:"events"`
 }
@@ -46,21 +46,21 @@
 func (e *Engine) serveKV(w http.ResponseWriter, r *http.Request) {
 	id := strings.TrimPrefix(r.URL.Path, engine.PathKV)
 	if r.Method == http.MethodPut {
-		var x exported
+		var x kvExport
 		if err := json.NewDecoder(r.Body).Decode(&x); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		e.breakOff(id, parseJob(x.Content), x.Events)
+		e.storeBrokenAnswer(id, parseJob(x.Content), x.Events)
 		w.WriteHeader(http.StatusOK)
 		return
 	}
 	e.mu.Lock()
-	b, ok := e.broken[id]
+	b, ok := e.brokenAnswers[id]
 	e.mu.Unlock()
 	if !ok {
 		http.Error(w, "no such answer", http.StatusNotFound)
 		return
 	}
-	writeJSON(w, http.StatusOK, exported{Prompt(b.job.tag, b.job.prompt, b.job.tokens), b.events})
+	writeJSON(w, http.StatusOK, kvExport{Prompt(b.job.tag, b.job.promptTokens, b.job.tokens), b.events})
 }
--- a/internal/standin/enginequeue.go
+++ b/internal/standin/enginequeue.go
@@ -16,8 +16,8 @@
 	sequence int
 	// index is the position in the heap, or -1 if the waiter has left it.
 	index int
-	// turn is closed when the waiter gets a slot.
-	turn chan struct{}
+	// slotGranted is closed when the waiter gets a slot.
+	slotGranted chan struct{}
 }
 
 // waiters is a heap of waiters, the highest priority first and within a priority in order of
@@ -60,32 +60,33 @@
 		e.mu.Unlock()
 		return true
 	}
-	e.next++
-	me := &waiter{priority: priority, sequence: e.next, turn: make(chan struct{})}
-	heap.Push(&e.queue, me)
+	e.lastSequence++
+	queued := &waiter{priority: priority, sequence: e.lastSequence, slotGranted: make(chan struct{})}
+	heap.Push(&e.queue, queued)
 	e.mu.Unlock()
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-me.turn:
+		case <-queued.slotGranted:
 			return true
 		case <-ticker.C:
-			if httpserver.CallerDisconnected(w) && e.abandon(me) {
+			if httpserver.CallerDisconnected(w) && e.removeWaiter(queued) {
 				return false
 			}
 		}
 	}
 }
 
-// abandon removes a waiter from the queue. It returns false if the waiter has got a slot already.
-func (e *Engine) abandon(me *waiter) bool {
+// removeWaiter removes a waiter from the queue. It returns false if the waiter has got a slot
+// already.
+func (e *Engine) removeWaiter(queued *waiter) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if me.index < 0 {
+	if queued.index < 0 {
 		return false
 	}
-	heap.Remove(&e.queue, me.index)
+	heap.Remove(&e.queue, queued.index)
 	return true
 }
 
@@ -97,7 +98,7 @@
 		e.running--
 		return
 	}
-	close(heap.Pop(&e.queue).(*waiter).turn)
+	close(heap.Pop(&e.queue).(*waiter).slotGranted)
 }
 
 // Drained waits until no request runs or waits in the engine, or until ctx is done.
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -40,8 +40,8 @@
 // faultSwitch holds the faults in force. Stand-ins embed it.
 type faultSwitch struct{ current atomic.Pointer[Faults] }
 
-// get returns the faults in force.
-func (s *faultSwitch) get() Faults {
+// faults returns the faults in force.
+func (s *faultSwitch) faults() Faults {
 	if f := s.current.Load(); f != nil {
 		return *f
 	}
@@ -51,8 +51,8 @@
 // SetFaults replaces the faults in force.
 func (s *faultSwitch) SetFaults(f Faults) { s.current.Store(&f) }
 
-// serve handles POST /v1/faults.
-func (s *faultSwitch) serve(w http.ResponseWriter, r *http.Request) {
+// serveFaults handles POST /v1/faults.
+func (s *faultSwitch) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -62,10 +62,10 @@
 	writeJSON(w, http.StatusOK, f)
 }
 
-// hold waits for the delay in force. In an outage it writes an error as the answer and returns
-// false.
-func (s *faultSwitch) hold(w http.ResponseWriter) bool {
-	f := s.get()
+// applyFaults waits for the delay in force. In an outage it answers the call with an error and
+// returns false.
+func (s *faultSwitch) applyFaults(w http.ResponseWriter) bool {
+	f := s.faults()
 	if f.DelayMS > 0 {
 		time.Sleep(time.Duration(f.DelayMS) * time.Millisecond)
 	}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -23,8 +23,8 @@
 	// writesPerSecond and readsPerSecond are the rates above which the platform refuses calls.
 	writesPerSecond = 100
 	readsPerSecond  = 2000
-	// maxWatch is the longest time that a call for changes may wait for one.
-	maxWatch = 30 * time.Second
+	// maxWatchWait is the longest time that a call for changes may wait for one.
+	maxWatchWait = 30 * time.Second
 	// objectPrefix is the path prefix of objects; kind and name follow.
 	objectPrefix = "/v1/objects/"
 )
@@ -44,24 +44,24 @@
 	// changed is closed, and replaced, with each write.
 	changed chan struct{}
 	// closed is closed by Stop.
-	closed chan struct{}
-	writes meter
-	reads  meter
+	closed       chan struct{}
+	writeLimiter rateLimiter
+	readLimiter  rateLimiter
 }
 
-// meter is a token bucket that limits the rate of calls and allows bursts of one second's calls.
-type meter struct {
+// rateLimiter is a token bucket. It allows bursts as large as the number of calls in one second.
+type rateLimiter struct {
 	// rate is the number of calls per second.
 	rate   float64
 	tokens float64
-	// filled is the time when tokens was last updated.
-	filled time.Time
+	// lastRefill is the time when tokens was last updated.
+	lastRefill time.Time
 }
 
 // allow takes a token and returns true, or returns false if there is none.
-func (m *meter) allow(now time.Time) bool {
-	m.tokens = min(m.tokens+m.rate*now.Sub(m.filled).Seconds(), m.rate)
-	m.filled = now
+func (m *rateLimiter) allow(now time.Time) bool {
+	m.tokens = min(m.tokens+m.rate*now.Sub(m.lastRefill).Seconds(), m.rate)
+	m.lastRefill = now
 	if m.tokens < 1 {
 		return false
 	}
@@ -72,11 +72,11 @@
 // NewPlatform starts a platform without objects that listens on address.
 func NewPlatform(address string) (*Platform, error) {
 	p := &Platform{
-		objects: map[string]port.Object{},
-		changed: make(chan struct{}),
-		closed:  make(chan struct{}),
-		writes:  meter{rate: writesPerSecond},
-		reads:   meter{rate: readsPerSecond},
+		objects:      map[string]port.Object{},
+		changed:      make(chan struct{}),
+		closed:       make(chan struct{}),
+		writeLimiter: rateLimiter{rate: writesPerSecond},
+		readLimiter:  rateLimiter{rate: readsPerSecond},
 	}
 	var err error
 	p.server, err = httpserver.New(address, p, httpserver.Options{MaxConnections: 4096, Pollers: 1})
@@ -98,11 +98,11 @@
 // ServeHTTP implements http.Handler.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/faults" {
-		p.serve(w, r)
+		p.serveFaults(w, r)
 		return
 	}
 	p.calls.Add(1)
-	if !p.hold(w) {
+	if !p.applyFaults(w) {
 		return
 	}
 	switch {
@@ -130,11 +130,11 @@
 		http.Error(w, "wait: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !p.allow(&p.reads) {
+	if !p.allow(&p.readLimiter) {
 		http.Error(w, "too many reads", http.StatusTooManyRequests)
 		return
 	}
-	timer := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maxWatch))
+	timer := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maxWatchWait))
 	defer timer.Stop()
 	for {
 		changes, changed := p.since(since)
@@ -153,7 +153,7 @@
 }
 
 // allow reports whether one more call is within the rate of m.
-func (p *Platform) allow(m *meter) bool {
+func (p *Platform) allow(m *rateLimiter) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return m.allow(clock.Now())
@@ -171,14 +171,14 @@
 		}
 	}
 	slices.SortFunc(out.Objects, func(a, b port.Object) int { return cmp.Compare(a.Revision, b.Revision) })
-	if p.get().Reorder {
+	if p.faults().Reorder {
 		slices.Reverse(out.Objects)
 	}
 	return out, p.changed
 }
 
 func (p *Platform) serveObject(w http.ResponseWriter, key string) {
-	if !p.allow(&p.reads) {
+	if !p.allow(&p.readLimiter) {
 		http.Error(w, "too many reads", http.StatusTooManyRequests)
 		return
 	}
@@ -198,13 +198,13 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !p.allow(&p.writes) {
+	if !p.allow(&p.writeLimiter) {
 		http.Error(w, "too many writes", http.StatusTooManyRequests)
 		return
 	}
 	o.Kind, o.Name, _ = strings.Cut(key, "/")
 	stored, err := p.Put(o)
-	if p.get().LoseAnswers {
+	if p.faults().LoseAnswers {
 		http.Error(w, "answer lost", http.StatusGatewayTimeout)
 		return
 	}
@@ -221,8 +221,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	key := o.Kind + "/" + o.Name
-	if held := p.objects[key]; held.Version != o.Version {
-		return held, port.ErrConflict
+	if stored := p.objects[key]; stored.Version != o.Version {
+		return stored, port.ErrConflict
 	}
 	p.revision++
 	o.Version++
@@ -240,8 +240,8 @@
 		return err
 	}
 	p.mu.Lock()
-	held := p.objects[kind+"/"+name]
+	stored := p.objects[kind+"/"+name]
 	p.mu.Unlock()
-	_, err = p.Put(port.Object{Kind: kind, Name: name, Version: held.Version, Spec: body})
+	_, err = p.Put(port.Object{Kind: kind, Name: name, Version: stored.Version, Spec: body})
 	return err
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -33,13 +33,13 @@
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/faults" {
-		s.serve(w, r)
+		s.serveFaults(w, r)
 		return
 	}
-	if !s.hold(w) {
+	if !s.applyFaults(w) {
 		return
 	}
-	f := s.get()
+	f := s.faults()
 	if f.Leaving || f.Refuse {
 		w.Header().Set(engine.HeaderNotRun, "1")
 		http.Error(w, "not taking requests", http.StatusServiceUnavailable)
@@ -55,7 +55,7 @@
 		s.observer.Ended(string(body), true)
 	}
 	if f.LoseAnswers {
-		abort(w)
+		closeConnection(w)
 		return
 	}
 	w.Header().Set("X-Method", r.Method)
