--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// cause returns the most likely cause of what became of the request, and lines that show it.
+// cause returns the most likely cause of the request's outcome and the log lines that support it.
 func (s *Story) cause() (string, []Line) {
 	end := s.end()
 	if end.What == "" {
@@ -49,7 +49,8 @@
 	return reason, nil
 }
 
-// late says why an answered request was late, if it was.
+// late returns why an answered request missed its goal for the time to the first byte, if it did.
+// It checks for retries first, then for time in the queue, then for the engine's prefill backlog.
 func (s *Story) late(end Line) (string, []Line) {
 	first, goal := end.number("first_ms"), end.number("goal_ms")
 	switch {
@@ -64,7 +65,8 @@
 		first, goal, end.number("unread"), end.number("miss")), nil
 }
 
-// targetFault says what was wrong with the target.
+// targetFault describes how the target failed and how many other requests failed there at about
+// the same time.
 func (s *Story) targetFault(reason string) string {
 	what := map[string]string{
 		"target-broken":      "target %s broke off its answer",
@@ -88,7 +90,8 @@
 	return fmt.Sprintf("%s, as for %d others within two seconds %v", out, others, s.neighbours.target)
 }
 
-// besides says what became of the organisation's other requests.
+// besides counts how the organisation's other requests at the same router ended at about the
+// same time. It returns an empty text if no neighbours were counted.
 func (s *Story) besides() string {
 	n := s.neighbours.organisation
 	if !s.neighbours.counted {
@@ -97,7 +100,8 @@
 	return fmt.Sprintf("; of its organisation's others here within two seconds %d were answered and %d refused", n["answered"], n["refused"])
 }
 
-// after returns the first line of a kind that the request's router wrote after it.
+// after returns the first line with a message that the request's router wrote after the request
+// ended, provided that it came soon enough to be related.
 func (s *Story) after(what string, end Line) []Line {
 	for _, l := range s.Beliefs {
 		if l.What == what && l.Router == end.Router && l.Time.After(end.Time) && l.Time.Sub(end.Time) < 5*near {
@@ -107,7 +111,8 @@
 	return nil
 }
 
-// lostRouter returns the start that followed at the router of a request without an end.
+// lostRouter returns the next start of the router that wrote the request's last line. For a
+// request without a final line it shows that the router crashed.
 func (s *Story) lostRouter() []Line {
 	last := s.Own[len(s.Own)-1]
 	for _, l := range s.Beliefs {
@@ -118,7 +123,7 @@
 	return nil
 }
 
-// some returns the lines that are there.
+// some returns those of the lines that are not empty.
 func some(list ...Line) []Line {
 	var out []Line
 	for _, l := range list {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -10,18 +10,18 @@
 	"github.com/stepcroft/stepcroft/internal/explain"
 )
 
-// line returns a log line of router a at some second.
+// line returns a log line of router a, written at an offset in seconds.
 func line(second float64, what, fields string) string {
 	whole := int(second)
 	return fmt.Sprintf(`{"time":"2026-01-01T00:00:%02d.%03dZ","msg":%q,"router":"a"%s}`+"\n", whole, int((second-float64(whole))*1000+0.5), what, fields)
 }
 
-// request returns the line by which request r ended.
+// request returns the line that reports the end of request r.
 func request(second float64, fields string) string {
 	return line(second, "request", `,"id":"r","organisation":"o","route":"x","took_ms":100,"goal_ms":400`+fields)
 }
 
-// tell tells the story of request r from logs.
+// tell explains request r from logs and returns the lines that could not be parsed, too.
 func tell(t *testing.T, logs ...string) (explain.Told, []explain.Bad) {
 	t.Helper()
 	s := explain.New("r")
@@ -41,7 +41,7 @@
 	broken := line(9.9, "given up", `,"id":"r","target":"e1","reason":"target-broken","cause":"EOF","events":3`)
 	cases := map[string]struct {
 		logs []string
-		// says is a part of the cause, shows one of the lines that show it.
+		// says is a substring of the cause, shows a substring of the lines that support it.
 		says, shows string
 	}{
 		"answered in time": {logs: []string{request(10, `,"outcome":"answered","status":200,"reason":"","first_ms":50`)}, says: "in time"},
@@ -111,13 +111,14 @@
 				t.Errorf("cause %q, want %q in it", told.Cause, c.says)
 			}
 			if shown := strings.Join(told.Because, "\n"); !strings.Contains(shown, c.shows) {
-				t.Errorf("shown %q, want %q in it", shown, c.shows)
+				t.Errorf("supporting lines %q, want %q in them", shown, c.shows)
 			}
 		})
 	}
 }
 
-// TestOrder has two routers' logs in any order; the story is in the order of time.
+// TestOrder checks that events are in order of time when the logs of two routers are read in
+// another order.
 func TestOrder(t *testing.T) {
 	first := strings.Replace(line(8, "sent again", `,"id":"r","target":"e1","reason":"target-broken"`), `"router":"a"`, `"router":"b"`, 1)
 	told, _ := tell(t, request(10, `,"outcome":"answered","status":200`), first)
@@ -131,10 +132,10 @@
 	log := "garbage\n{\"time\":7}\n{\"msg\":\"x\"\n" + strings.Repeat("y", 2<<20) + "\n  12.5 a " + request(10, `,"outcome":"answered","status":200`)
 	told, bad := tell(t, log)
 	if len(bad) != 8 || bad[0].Number != 1 || bad[3].Number != 4 {
-		t.Errorf("%d bad lines in two readings: %+v", len(bad), bad)
+		t.Errorf("%d bad lines in two passes: %+v", len(bad), bad)
 	}
 	if !strings.Contains(told.Cause, "in time") {
-		t.Errorf("the rest was not read: %q", told.Cause)
+		t.Errorf("the line after the bad ones was not read: cause %q", told.Cause)
 	}
 }
 
--- a/internal/explain/read.go
+++ b/internal/explain/read.go
@@ -1,4 +1,4 @@
-// Package explain tells from routers' log lines what happened to one request and why.
+// Package explain reconstructs from routers' log lines what happened to one request and why.
 package explain
 
 import (
@@ -16,7 +16,8 @@
 type Line struct {
 	Time   time.Time
 	Router string
-	// What is the line's message, Fields all that it says, its time and message included.
+	// What is the line's message. Fields holds all keys of the line, including its time and
+	// message.
 	What   string
 	Fields map[string]any
 }
@@ -33,31 +34,31 @@
 	return n
 }
 
-// Bad is a line that cannot be read.
+// Bad is a line that cannot be parsed.
 type Bad struct {
 	File   string
 	Number int
 	Cause  error
 }
 
-// lineMost bounds a line, in bytes: lines of routers have some hundred.
+// lineMost bounds the length of a line, in bytes. Routers write lines of a few hundred bytes.
 const lineMost = 1 << 20
 
-// errNoLine means that a line holds no JSON object.
+// errNoLine means that a line contains no JSON object.
 var errNoLine = errors.New("no JSON object")
 
-// gzipMagic begins a compressed file.
+// gzipMagic is the first two bytes of a file compressed with gzip.
 var gzipMagic = []byte{0x1f, 0x8b}
 
 // Read calls f for each line of a router's log, plain or compressed with gzip, and bad for
-// each that cannot be read. What stands before the JSON object, as a collector's time, is
-// passed over.
+// each line that cannot be parsed. It ignores text before the JSON object, such as a timestamp
+// that a log collector prepended.
 func Read(r io.Reader, name string, f func(Line), bad func(Bad)) error {
 	in := bufio.NewReaderSize(r, lineMost)
 	if head, err := in.Peek(len(gzipMagic)); err == nil && bytes.Equal(head, gzipMagic) {
 		z, err := gzip.NewReader(in)
 		if err != nil {
-			return errors.Wrapf(err, "unpack %s", name)
+			return errors.Wrapf(err, "decompress %s", name)
 		}
 		in = bufio.NewReaderSize(z, lineMost)
 	}
@@ -86,7 +87,7 @@
 	}
 }
 
-// skipLine reads to the end of a line.
+// skipLine discards the rest of the current line.
 func skipLine(in *bufio.Reader) error {
 	for {
 		_, err := in.ReadSlice('\n')
@@ -96,11 +97,12 @@
 	}
 }
 
-// lineDropped tells how many lines a router left out. It has neither time nor router: they are
-// those of the line before it.
+// lineDropped is the message of the line that says how many lines a router dropped because it
+// logged too fast. The line has neither time nor router; parse copies them from the line before.
 const lineDropped = "log lines dropped"
 
-// parse reads a line that follows another one.
+// parse parses a line. The line before it, last, supplies the time and router of a line that
+// has none.
 func parse(text []byte, last Line) (Line, error) {
 	i := bytes.IndexByte(text, '{')
 	if i < 0 {
@@ -116,7 +118,7 @@
 	}
 	at, err := time.Parse(time.RFC3339Nano, l.text("time"))
 	if err != nil {
-		return Line{}, errors.Wrap(err, "time of line")
+		return Line{}, errors.Wrap(err, "parse time of line")
 	}
 	l.Time, l.Router = at, l.text("router")
 	return l, nil
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// near is within which time of a request others are looked at.
+	// near is the longest time between the ends of two requests that count as neighbours.
 	near = 2 * time.Second
-	// beliefsMost bounds the lines kept of what routers believed: some hours of a fleet
-	// of hundreds in calm time.
+	// beliefsMost bounds the lines about routers' state that are kept in memory. A fleet of
+	// hundreds of routers writes as many in some hours of normal operation.
 	beliefsMost = 200_000
 )
 
-// Lines of a router that say something of one request.
+// Messages of the lines that routers write about one request.
 const (
 	lineRequest   = "request"
 	lineSentAgain = "sent again"
 	lineGivenUp   = "given up"
 )
 
-// beliefs are the lines that say what a router believes, of which a story has the last one
-// before the request.
+// beliefs holds the messages of the lines that report a router's state: its configuration, its
+// targets, the store and the requests that it quarantined. They show what the router knew when
+// the request came.
 var beliefs = map[string]bool{
 	"configuration in force": true, "targets known": true, "store lost": true, "store regained": true,
 	"organisation throttled": true, "organisation no longer throttled": true, "router runs": true, "target says that it leaves": true, "target asks for a rest": true, "targets left alone that turn requests away": true, "store came back older": true, "planned stop begins": true,
@@ -31,32 +32,33 @@
 	"request cleared": true, "lapsed targets given up": true, lineDropped: true, "callers turned away": true,
 }
 
-// Story is what is known of one request. Use New to begin one, and Add for each line.
+// Story collects what is known about one request. Pass each line to Add, call Sort, then pass
+// each line to AddNeighbour.
 type Story struct {
 	ID string
-	// Own are the lines of the request, Beliefs others that routers wrote, Dropped how
-	// many lines all routers left out.
+	// Own holds the lines about the request, Beliefs the lines about routers' state. Dropped
+	// is the number of lines that routers did not write because they logged too fast.
 	Own     []Line
 	Beliefs []Line
 	Dropped int
-	// lost is set where beliefs were left out.
+	// lost is set if Beliefs reached its bound and lines were left out.
 	lost bool
-	// neighbours counts what became of other requests near this one.
+	// neighbours counts the outcomes of other requests that ended at about the same time.
 	neighbours neighbours
 }
 
-// neighbours are other requests near one in time.
+// neighbours counts requests that ended at about the same time as the explained one.
 type neighbours struct {
 	counted bool
-	// target counts those at the same target by reason, organisation those of the same
-	// organisation at the same router by outcome.
+	// target counts failures at the same target by reason; organisation counts requests of
+	// the same organisation at the same router by outcome.
 	target, organisation map[string]int
 }
 
-// New returns the story of a request of which nothing is known.
+// New returns an empty story of the request with an ID.
 func New(id string) *Story { return &Story{ID: id} }
 
-// Add takes in a line.
+// Add keeps a line if it is about the request or reports a router's state.
 func (s *Story) Add(l Line) {
 	switch {
 	case l.text("id") == s.ID:
@@ -73,14 +75,15 @@
 	}
 }
 
-// Sort puts the lines in order. Call it when all lines were added.
+// Sort orders the lines by time. Call it after the last Add.
 func (s *Story) Sort() {
 	byTime := func(a, b Line) int { return a.Time.Compare(b.Time) }
 	slices.SortStableFunc(s.Own, byTime)
 	slices.SortStableFunc(s.Beliefs, byTime)
 }
 
-// AddNeighbour takes in a line once more, after Sort, to count other requests.
+// AddNeighbour counts a line if it is about a neighbour of the request. It needs a second pass
+// over all lines, after Sort, since neighbours are found by the time at which the request ended.
 func (s *Story) AddNeighbour(l Line) {
 	n := &s.neighbours
 	if !n.counted {
@@ -101,7 +104,7 @@
 	}
 }
 
-// end returns the line by which the request ended, an empty one if there is none.
+// end returns the line that the router wrote when the request ended, or an empty one.
 func (s *Story) end() Line {
 	for _, l := range slices.Backward(s.Own) {
 		if l.What == lineRequest {
@@ -111,7 +114,7 @@
 	return Line{}
 }
 
-// target returns the target that mattered last.
+// target returns the last target that failed the request, or else the one in its final line.
 func (s *Story) target() string {
 	for _, l := range slices.Backward(s.Own) {
 		if l.What == lineGivenUp || l.What == lineSentAgain {
@@ -121,8 +124,8 @@
 	return s.end().text("target")
 }
 
-// last returns the last line of a kind that a router wrote before a time, for which keep
-// is true; an empty one if there is none.
+// last returns the last line with a message that a router wrote no later than a time and that
+// keep accepts, or an empty one. A nil keep accepts all lines.
 func (s *Story) last(what, router string, before time.Time, keep func(Line) bool) Line {
 	for _, l := range slices.Backward(s.Beliefs) {
 		if l.What == what && l.Router == router && !l.Time.After(before) && (keep == nil || keep(l)) {
@@ -132,17 +135,17 @@
 	return Line{}
 }
 
-// Told is a story as it is told.
+// Told is the explanation of a request's outcome.
 type Told struct {
 	ID string `json:"id"`
-	// Events are what happened, in order, and what the router held before.
+	// Events lists what happened, in order, and the router's state when the request came.
 	Events []string `json:"events"`
-	// Cause is the most likely cause of how it ended, Because the lines that show it.
+	// Cause is the most likely cause of the outcome, Because the log lines that support it.
 	Cause   string   `json:"cause"`
 	Because []string `json:"because"`
 }
 
-// Text returns the story in lines.
+// Text returns the explanation as lines of text.
 func (t Told) Text() []string {
 	out := append(slices.Clone(t.Events), "cause: "+t.Cause)
 	for _, l := range t.Because {
@@ -151,7 +154,7 @@
 	return out
 }
 
-// Tell tells the story.
+// Tell returns the explanation. Call it after all lines were added.
 func (s *Story) Tell() Told {
 	if len(s.Own) == 0 {
 		return s.nothing()
@@ -167,7 +170,8 @@
 	return out
 }
 
-// events says what happened.
+// events describes the arrival of the request, the router's state at that time, and each line
+// about the request.
 func (s *Story) events() []string {
 	end := s.end()
 	var out []string
@@ -183,7 +187,8 @@
 	return out
 }
 
-// nothing says what is known of a request that no line names.
+// nothing returns the explanation for a request that no line names. It lists the lines that
+// routers dropped, since the request may be among them.
 func (s *Story) nothing() Told {
 	out := Told{ID: s.ID, Events: []string{}, Cause: "no line has this id", Because: []string{}}
 	if s.Dropped > 0 {
@@ -197,7 +202,7 @@
 	return out
 }
 
-// knew says what the router held when the request came.
+// knew describes the router's configuration, targets and store when the request came.
 func (s *Story) knew(router string, at time.Time) []string {
 	var out []string
 	if l := s.last("configuration in force", router, at, nil); l.What != "" {
@@ -214,7 +219,7 @@
 	return out
 }
 
-// tellOwn says what a line of the request says.
+// tellOwn describes a line about the request in words.
 func tellOwn(l Line) string {
 	switch l.What {
 	case lineRequest:
@@ -231,7 +236,7 @@
 	return show(l)
 }
 
-// show returns a line's message and fields in order.
+// show returns a line's message and its fields, sorted by name.
 func show(l Line) string {
 	out := []string{l.What}
 	for _, name := range sortedNames(l.Fields) {
