--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -46,9 +46,9 @@
 func (c *explainCommand) Run(s streams) error {
 	story := explain.New(c.ID)
 	bad := 0
-	failed := c.read(s, story.Add, func(b explain.Bad) {
+	failed := c.read(s, story.Add, func(b explain.BadLine) {
 		if bad++; bad <= badShown {
-			fmt.Fprintf(s.err, "%s, line %d: %v\n", b.File, b.Number, b.Cause)
+			fmt.Fprintf(s.err, "%s, line %d: %v\n", b.File, b.Number, b.Err)
 		}
 	}, false)
 	if bad > badShown {
@@ -56,16 +56,16 @@
 	}
 	story.Sort()
 	// What cannot be read was told the first time.
-	if err := c.read(s, story.AddNeighbour, func(explain.Bad) {}, true); failed == nil {
+	if err := c.read(s, story.AddNeighbour, func(explain.BadLine) {}, true); failed == nil {
 		failed = err
 	}
 	if c.Output == "json" {
-		if err := json.NewEncoder(s.out).Encode(story.Tell()); err != nil {
+		if err := json.NewEncoder(s.out).Encode(story.Explain()); err != nil {
 			return errors.Wrap(err, "write story")
 		}
 		return failed
 	}
-	for _, l := range story.Tell().Text() {
+	for _, l := range story.Explain().Text() {
 		fmt.Fprintln(s.out, l)
 	}
 	return failed
@@ -73,7 +73,7 @@
 
 // read reads all files; again leaves out what can be read only once. A file that fails does
 // not keep the others from being read.
-func (c *explainCommand) read(s streams, f func(explain.Line), bad func(explain.Bad), again bool) error {
+func (c *explainCommand) read(s streams, f func(explain.Line), bad func(explain.BadLine), again bool) error {
 	var failed error
 	for _, name := range c.Files {
 		if name == "-" && again {
@@ -89,7 +89,7 @@
 	return failed
 }
 
-func readFile(s streams, name string, f func(explain.Line), bad func(explain.Bad)) error {
+func readFile(s streams, name string, f func(explain.Line), bad func(explain.BadLine)) error {
 	if name == "-" {
 		return explain.Read(&progress{Reader: os.Stdin, out: s.err}, "standard input", f, bad)
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -11,9 +11,9 @@
 )
 
 // line returns a log line of router a, written at an offset in seconds.
-func line(second float64, what, fields string) string {
+func line(second float64, message, fields string) string {
 	whole := int(second)
-	return fmt.Sprintf(`{"time":"2026-01-01T00:00:%02d.%03dZ","msg":%q,"router":"a"%s}`+"\n", whole, int((second-float64(whole))*1000+0.5), what, fields)
+	return fmt.Sprintf(`{"time":"2026-01-01T00:00:%02d.%03dZ","msg":%q,"router":"a"%s}`+"\n", whole, int((second-float64(whole))*1000+0.5), message, fields)
 }
 
 // request returns the line that reports the end of request r.
@@ -21,97 +21,97 @@
 	return line(second, "request", `,"id":"r","organisation":"o","route":"x","took_ms":100,"goal_ms":400`+fields)
 }
 
-// tell explains request r from logs and returns the lines that could not be parsed, too.
-func tell(t *testing.T, logs ...string) (explain.Told, []explain.Bad) {
+// explainRequest explains request r from logs. It also returns the lines that could not be parsed.
+func explainRequest(t *testing.T, logs ...string) (explain.Explanation, []explain.BadLine) {
 	t.Helper()
-	s := explain.New("r")
-	var bad []explain.Bad
-	for _, f := range []func(explain.Line){s.Add, s.AddNeighbour} {
+	timeline := explain.New("r")
+	var bad []explain.BadLine
+	for _, f := range []func(explain.Line){timeline.Add, timeline.AddNeighbour} {
 		for _, log := range logs {
-			if err := explain.Read(strings.NewReader(log), "log", f, func(b explain.Bad) { bad = append(bad, b) }); err != nil {
+			if err := explain.Read(strings.NewReader(log), "log", f, func(b explain.BadLine) { bad = append(bad, b) }); err != nil {
 				t.Fatal(err)
 			}
 		}
-		s.Sort()
+		timeline.Sort()
 	}
-	return s.Tell(), bad
+	return timeline.Explain(), bad
 }
 
 func TestCauses(t *testing.T) {
 	broken := line(9.9, "given up", `,"id":"r","target":"e1","reason":"target-broken","cause":"EOF","events":3`)
 	cases := map[string]struct {
 		logs []string
-		// says is a substring of the cause, shows a substring of the lines that support it.
-		says, shows string
+		// wantCause is a substring of the cause, wantLine a substring of the lines that support it.
+		wantCause, wantLine string
 	}{
-		"answered in time": {logs: []string{request(10, `,"outcome":"answered","status":200,"reason":"","first_ms":50`)}, says: "in time"},
+		"answered in time": {logs: []string{request(10, `,"outcome":"answered","status":200,"reason":"","first_ms":50`)}, wantCause: "in time"},
 		"late behind long prompts": {
-			logs: []string{request(10, `,"outcome":"answered","status":200,"reason":"","first_ms":900,"sends":1,"unread":20000`)},
-			says: "20000 prompt tokens",
+			logs:      []string{request(10, `,"outcome":"answered","status":200,"reason":"","first_ms":900,"sends":1,"unread":20000`)},
+			wantCause: "20000 prompt tokens",
 		},
 		"late for want of room": {
-			logs: []string{request(10, `,"outcome":"answered","status":200,"reason":"","first_ms":900,"sends":1,"waited_ms":800`)},
-			says: "waited 800 ms",
+			logs:      []string{request(10, `,"outcome":"answered","status":200,"reason":"","first_ms":900,"sends":1,"waited_ms":800`)},
+			wantCause: "waited 800 ms",
 		},
 		"held back": {
-			logs:  []string{line(3, "request held back", `,"content":"c1"`), line(4, "request held back", `,"content":"c2"`), request(10, `,"outcome":"refused","status":503,"reason":"quarantined","content":"c1"`)},
-			says:  "same request",
-			shows: "content=c1",
+			logs:      []string{line(3, "request held back", `,"content":"c1"`), line(4, "request held back", `,"content":"c2"`), request(10, `,"outcome":"refused","status":503,"reason":"quarantined","content":"c1"`)},
+			wantCause: "same request",
+			wantLine:  "content=c1",
 		},
 		"no room": {
 			logs: []string{
 				strings.Replace(request(9, `,"outcome":"answered"`), `"id":"r"`, `"id":"other"`, 1),
 				request(10, `,"outcome":"refused","status":503,"reason":"queue-full"`),
 			},
-			says: "1 were answered and 0 refused",
+			wantCause: "1 were answered and 0 refused",
 		},
 		"resting targets": {
-			logs:  []string{line(9, "target asks for a rest", `,"target":"e1","rest_ms":3000`), request(10, `,"outcome":"refused","status":503,"reason":"targets-resting"`)},
-			says:  "asked for a rest",
-			shows: "rest_ms=3000",
+			logs:      []string{line(9, "target asks for a rest", `,"target":"e1","rest_ms":3000`), request(10, `,"outcome":"refused","status":503,"reason":"targets-resting"`)},
+			wantCause: "asked for a rest",
+			wantLine:  "rest_ms=3000",
 		},
 		"a busy router": {
-			logs:  []string{line(9, "organisation throttled", `,"organisation":"o","busy":0.9`), request(10, `,"outcome":"refused","status":503,"reason":"router-busy"`)},
-			says:  "processor",
-			shows: "busy=0.9",
+			logs:      []string{line(9, "organisation throttled", `,"organisation":"o","busy":0.9`), request(10, `,"outcome":"refused","status":503,"reason":"router-busy"`)},
+			wantCause: "processor",
+			wantLine:  "busy=0.9",
 		},
 		"a key that is gone": {
-			logs:  []string{line(2, "configuration in force", `,"version":7`), line(12, "configuration in force", `,"version":8`), request(10, `,"outcome":"refused","status":401,"reason":"unknown-key"`)},
-			says:  "did not know",
-			shows: "version=7",
+			logs:      []string{line(2, "configuration in force", `,"version":7`), line(12, "configuration in force", `,"version":8`), request(10, `,"outcome":"refused","status":401,"reason":"unknown-key"`)},
+			wantCause: "did not know",
+			wantLine:  "version=7",
 		},
 		"a target that broke off for all": {
 			logs: []string{
 				broken, strings.Replace(broken, `"id":"r"`, `"id":"other"`, 1),
 				request(10, `,"outcome":"cut","status":200,"reason":"target-broken","target":"e1"`), line(11, "targets known", `,"targets":4`),
 			},
-			says: "1 others", shows: "targets=4",
+			wantCause: "1 others", wantLine: "targets=4",
 		},
 		"a target that broke off once": {
-			logs: []string{broken, request(10, `,"outcome":"cut","status":200,"reason":"target-broken","target":"e1"`)}, says: "nothing else failed",
+			logs: []string{broken, request(10, `,"outcome":"cut","status":200,"reason":"target-broken","target":"e1"`)}, wantCause: "nothing else failed",
 		},
 		"a suspension": {
-			logs: []string{line(9, "box was suspended", `,"missed_ms":4000`), request(10, `,"outcome":"refused","status":503,"reason":"not-ready"`)},
-			says: "rely on", shows: "missed_ms=4000",
+			logs:      []string{line(9, "box was suspended", `,"missed_ms":4000`), request(10, `,"outcome":"refused","status":503,"reason":"not-ready"`)},
+			wantCause: "rely on", wantLine: "missed_ms=4000",
 		},
 		"a router that was killed": {
-			logs: []string{line(9, "sent again", `,"id":"r","target":"e1"`), line(12, "router runs", "")}, says: "may still run", shows: "router runs",
+			logs: []string{line(9, "sent again", `,"id":"r","target":"e1"`), line(12, "router runs", "")}, wantCause: "may still run", wantLine: "router runs",
 		},
 		"only counted": {
-			logs: []string{line(9, "targets known", ""), `{"level":"WARN","msg":"log lines dropped","lines":70}` + "\n"}, says: "70 lines were left out", shows: "left out 70",
+			logs: []string{line(9, "targets known", ""), `{"level":"WARN","msg":"log lines dropped","lines":70}` + "\n"}, wantCause: "70 lines were left out", wantLine: "left out 70",
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			told, bad := tell(t, strings.Join(c.logs, ""))
+			got, bad := explainRequest(t, strings.Join(c.logs, ""))
 			if len(bad) > 0 {
 				t.Fatalf("bad lines: %+v", bad)
 			}
-			if !strings.Contains(told.Cause, c.says) {
-				t.Errorf("cause %q, want %q in it", told.Cause, c.says)
+			if !strings.Contains(got.Cause, c.wantCause) {
+				t.Errorf("cause %q, want %q in it", got.Cause, c.wantCause)
 			}
-			if shown := strings.Join(told.Because, "\n"); !strings.Contains(shown, c.shows) {
-				t.Errorf("supporting lines %q, want %q in them", shown, c.shows)
+			if shown := strings.Join(got.Because, "\n"); !strings.Contains(shown, c.wantLine) {
+				t.Errorf("supporting lines %q, want %q in them", shown, c.wantLine)
 			}
 		})
 	}
@@ -121,8 +121,8 @@
 // another order.
 func TestOrder(t *testing.T) {
 	first := strings.Replace(line(8, "sent again", `,"id":"r","target":"e1","reason":"target-broken"`), `"router":"a"`, `"router":"b"`, 1)
-	told, _ := tell(t, request(10, `,"outcome":"answered","status":200`), first)
-	text := strings.Join(told.Text(), "\n")
+	got, _ := explainRequest(t, request(10, `,"outcome":"answered","status":200`), first)
+	text := strings.Join(got.Text(), "\n")
 	if strings.Index(text, "leaves target") > strings.Index(text, "ends it") {
 		t.Errorf("out of order:\n%s", text)
 	}
@@ -130,12 +130,12 @@
 
 func TestBadLines(t *testing.T) {
 	log := "garbage\n{\"time\":7}\n{\"msg\":\"x\"\n" + strings.Repeat("y", 2<<20) + "\n  12.5 a " + request(10, `,"outcome":"answered","status":200`)
-	told, bad := tell(t, log)
+	got, bad := explainRequest(t, log)
 	if len(bad) != 8 || bad[0].Number != 1 || bad[3].Number != 4 {
 		t.Errorf("%d bad lines in two passes: %+v", len(bad), bad)
 	}
-	if !strings.Contains(told.Cause, "in time") {
-		t.Errorf("the line after the bad ones was not read: cause %q", told.Cause)
+	if !strings.Contains(got.Cause, "in time") {
+		t.Errorf("the line after the bad ones was not read: cause %q", got.Cause)
 	}
 }
 
@@ -149,7 +149,7 @@
 		t.Fatal(err)
 	}
 	lines := 0
-	if err := explain.Read(&b, "log", func(explain.Line) { lines++ }, func(b explain.Bad) { t.Error(b.Cause) }); err != nil || lines != 1 {
+	if err := explain.Read(&b, "log", func(explain.Line) { lines++ }, func(b explain.BadLine) { t.Error(b.Err) }); err != nil || lines != 1 {
 		t.Errorf("%d lines, %v", lines, err)
 	}
 }
@@ -158,10 +158,10 @@
 	f.Add([]byte(request(10, "")))
 	f.Add([]byte{0x1f, 0x8b, 0})
 	f.Fuzz(func(_ *testing.T, log []byte) {
-		s := explain.New("r")
-		if err := explain.Read(bytes.NewReader(log), "log", s.Add, func(explain.Bad) {}); err == nil {
-			s.Sort()
-			s.Tell()
+		timeline := explain.New("r")
+		if err := explain.Read(bytes.NewReader(log), "log", timeline.Add, func(explain.BadLine) {}); err == nil {
+			timeline.Sort()
+			timeline.Explain()
 		}
 	})
 }
--- a/internal/explain/read.go
+++ b/internal/explain/read.go
@@ -16,10 +16,10 @@
 type Line struct {
 	Time   time.Time
 	Router string
-	// What is the line's message. Fields holds all keys of the line, including its time and
+	// Message is the line's message. Fields holds all keys of the line, including its time and
 	// message.
-	What   string
-	Fields map[string]any
+	Message string
+	Fields  map[string]any
 }
 
 // text returns a field as text, empty if it is missing or of another type.
@@ -34,18 +34,18 @@
 	return n
 }
 
-// Bad is a line that cannot be parsed.
-type Bad struct {
+// BadLine is a line that cannot be parsed.
+type BadLine struct {
 	File   string
 	Number int
-	Cause  error
+	Err    error
 }
 
-// lineMost bounds the length of a line, in bytes. Routers write lines of a few hundred bytes.
-const lineMost = 1 << 20
+// maxLineBytes bounds the length of a line, in bytes. Routers write lines of a few hundred bytes.
+const maxLineBytes = 1 << 20
 
-// errNoLine means that a line contains no JSON object.
-var errNoLine = errors.New("no JSON object")
+// errNoJSON means that a line contains no JSON object.
+var errNoJSON = errors.New("no JSON object")
 
 // gzipMagic is the first two bytes of a file compressed with gzip.
 var gzipMagic = []byte{0x1f, 0x8b}
@@ -53,28 +53,28 @@
 // Read calls f for each line of a router's log, plain or compressed with gzip, and bad for
 // each line that cannot be parsed. It ignores text before the JSON object, such as a timestamp
 // that a log collector prepended.
-func Read(r io.Reader, name string, f func(Line), bad func(Bad)) error {
-	in := bufio.NewReaderSize(r, lineMost)
+func Read(r io.Reader, name string, f func(Line), bad func(BadLine)) error {
+	in := bufio.NewReaderSize(r, maxLineBytes)
 	if head, err := in.Peek(len(gzipMagic)); err == nil && bytes.Equal(head, gzipMagic) {
 		z, err := gzip.NewReader(in)
 		if err != nil {
 			return errors.Wrapf(err, "decompress %s", name)
 		}
-		in = bufio.NewReaderSize(z, lineMost)
+		in = bufio.NewReaderSize(z, maxLineBytes)
 	}
-	var last Line
+	var previous Line
 	for n := 1; ; n++ {
 		text, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			bad(Bad{name, n, errors.Errorf("longer than %d bytes", lineMost)})
+			bad(BadLine{name, n, errors.Errorf("longer than %d bytes", maxLineBytes)})
 			err = skipLine(in)
 			text = nil
 		}
 		if text = bytes.TrimSpace(text); len(text) > 0 {
-			if l, err := parse(text, last); err != nil {
-				bad(Bad{name, n, err})
+			if l, err := parseLine(text, previous); err != nil {
+				bad(BadLine{name, n, err})
 			} else {
-				last = l
+				previous = l
 				f(l)
 			}
 		}
@@ -97,23 +97,24 @@
 	}
 }
 
-// lineDropped is the message of the line that says how many lines a router dropped because it
-// logged too fast. The line has neither time nor router; parse copies them from the line before.
-const lineDropped = "log lines dropped"
+// msgLinesDropped is the message of the line that counts the lines that a router dropped because
+// it logged too fast. That line has neither time nor router; parseLine copies them from the line
+// before it.
+const msgLinesDropped = "log lines dropped"
 
-// parse parses a line. The line before it, last, supplies the time and router of a line that
-// has none.
-func parse(text []byte, last Line) (Line, error) {
+// parseLine parses a line. A line without time and router takes those of previous, the line before
+// it.
+func parseLine(text []byte, previous Line) (Line, error) {
 	i := bytes.IndexByte(text, '{')
 	if i < 0 {
-		return Line{}, errNoLine
+		return Line{}, errNoJSON
 	}
 	var l Line
 	if err := json.Unmarshal(text[i:], &l.Fields); err != nil {
 		return Line{}, errors.Wrap(err, "decode")
 	}
-	if l.What = l.text("msg"); l.What == lineDropped {
-		l.Time, l.Router = last.Time, last.Router
+	if l.Message = l.text("msg"); l.Message == msgLinesDropped {
+		l.Time, l.Router = previous.Time, previous.Router
 		return l, nil
 	}
 	at, err := time.Parse(time.RFC3339Nano, l.text("time"))
--- /dev/null
+++ b/internal/explain/timeline.go
@@ -0,0 +1,270 @@
+package explain
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+)
+
+const (
+	// neighbourWindow is how far apart the ends of two neighbouring requests may be.
+	neighbourWindow = 2 * time.Second
+	// maxStateLines bounds the lines about routers' state that are kept in memory. A fleet of
+	// hundreds of routers writes as many in some hours of normal operation.
+	maxStateLines = 200_000
+)
+
+// Messages of the lines that routers write about one request.
+const (
+	msgRequest   = "request"
+	msgSentAgain = "sent again"
+	msgGivenUp   = "given up"
+)
+
+// stateMessages holds the messages of the lines that report a router's state, such as its
+// configuration, its targets, the store and the requests that it quarantined. They show what the
+// router knew when the request came.
+var stateMessages = map[string]bool{
+	"configuration in force": true, "targets known": true, "store lost": true, "store regained": true,
+	"organisation throttled": true, "organisation no longer throttled": true, "router runs": true, "target says that it leaves": true, "target asks for a rest": true, "targets left alone that turn requests away": true, "store came back older": true, "planned stop begins": true,
+	"box was suspended": true, "configuration confirmed": true, "request held back": true, "request suspected": true,
+	"request cleared": true, "lapsed targets given up": true, msgLinesDropped: true, "callers turned away": true,
+}
+
+// Timeline collects what is known about one request. Pass each line to Add, call Sort, then pass
+// each line to AddNeighbour.
+type Timeline struct {
+	ID string
+	// RequestLines holds the lines about the request, StateLines the lines about routers' state.
+	// DroppedLines is the number of lines that routers did not write because they logged too
+	// fast.
+	RequestLines []Line
+	StateLines   []Line
+	DroppedLines int
+	// truncated is set if StateLines reached maxStateLines, so that later lines are missing.
+	truncated bool
+	// neighbours counts the outcomes of other requests that ended at about the same time.
+	neighbours neighbours
+}
+
+// neighbours counts requests that ended at about the same time as the explained one.
+type neighbours struct {
+	// counted is set once a line was passed to AddNeighbour.
+	counted bool
+	// reasonsAtTarget counts failures at the same target by reason, outcomesOfOrganisation
+	// requests of the same organisation at the same router by outcome.
+	reasonsAtTarget, outcomesOfOrganisation map[string]int
+}
+
+// New returns an empty timeline of the request with this ID.
+func New(id string) *Timeline { return &Timeline{ID: id} }
+
+// Add keeps a line if it is about the request or reports a router's state.
+func (t *Timeline) Add(l Line) {
+	switch {
+	case l.text("id") == t.ID:
+		t.RequestLines = append(t.RequestLines, l)
+	case stateMessages[l.Message]:
+		if l.Message == msgLinesDropped {
+			t.DroppedLines += int(l.number("lines"))
+		}
+		if len(t.StateLines) >= maxStateLines {
+			t.truncated = true
+			return
+		}
+		t.StateLines = append(t.StateLines, l)
+	}
+}
+
+// Sort orders the lines by time. Call it after the last Add.
+func (t *Timeline) Sort() {
+	byTime := func(a, b Line) int { return a.Time.Compare(b.Time) }
+	slices.SortStableFunc(t.RequestLines, byTime)
+	slices.SortStableFunc(t.StateLines, byTime)
+}
+
+// AddNeighbour counts a line if it is about a neighbour of the request. It needs a second pass
+// over all lines, after Sort, since neighbours are found by the time at which the request ended.
+func (t *Timeline) AddNeighbour(l Line) {
+	n := &t.neighbours
+	if !n.counted {
+		*n = neighbours{counted: true, reasonsAtTarget: map[string]int{}, outcomesOfOrganisation: map[string]int{}}
+	}
+	end := t.endLine()
+	if end.Message == "" || l.text("id") == t.ID || l.text("id") == "" {
+		return
+	}
+	if d := l.Time.Sub(end.Time); d > neighbourWindow || d < -neighbourWindow {
+		return
+	}
+	if target := t.target(); target != "" && l.text("target") == target && l.Message != msgRequest {
+		n.reasonsAtTarget[l.text("reason")]++
+	}
+	if l.Message == msgRequest && l.Router == end.Router && l.text("organisation") == end.text("organisation") {
+		n.outcomesOfOrganisation[l.text("outcome")]++
+	}
+}
+
+// endLine returns the line that the router wrote when the request ended, or an empty one.
+func (t *Timeline) endLine() Line {
+	for _, l := range slices.Backward(t.RequestLines) {
+		if l.Message == msgRequest {
+			return l
+		}
+	}
+	return Line{}
+}
+
+// target returns the last target that failed the request, or else the one in its final line.
+func (t *Timeline) target() string {
+	for _, l := range slices.Backward(t.RequestLines) {
+		if l.Message == msgGivenUp || l.Message == msgSentAgain {
+			return l.text("target")
+		}
+	}
+	return t.endLine().text("target")
+}
+
+// lastBefore returns the last line with a message that a router wrote no later than a time and
+// that keep accepts, or an empty one. A nil keep accepts all lines.
+func (t *Timeline) lastBefore(message, router string, before time.Time, keep func(Line) bool) Line {
+	for _, l := range slices.Backward(t.StateLines) {
+		if l.Message == message && l.Router == router && !l.Time.After(before) && (keep == nil || keep(l)) {
+			return l
+		}
+	}
+	return Line{}
+}
+
+// Explanation says what happened to a request and why, in the form shown to operators.
+type Explanation struct {
+	ID string `json:"id"`
+	// Events lists what happened, in order, and the router's state when the request came.
+	Events []string `json:"events"`
+	// Cause is the most likely cause of the outcome, Because the log lines that support it.
+	Cause   string   `json:"cause"`
+	Because []string `json:"because"`
+}
+
+// Text returns the explanation as lines of text.
+func (t Explanation) Text() []string {
+	out := append(slices.Clone(t.Events), "cause: "+t.Cause)
+	for _, l := range t.Because {
+		out = append(out, "  "+l)
+	}
+	return out
+}
+
+// Explain returns the explanation. Call it after all lines were added.
+func (t *Timeline) Explain() Explanation {
+	if len(t.RequestLines) == 0 {
+		return t.noLinesFound()
+	}
+	cause, because := t.cause()
+	out := Explanation{ID: t.ID, Events: t.events(), Cause: cause, Because: []string{}}
+	for _, l := range because {
+		out.Because = append(out.Because, clockText(l.Time)+"  "+l.Router+" "+formatLine(l))
+	}
+	if t.truncated {
+		out.Because = append(out.Because, fmt.Sprintf("only the first %d lines of what routers believed were looked at", maxStateLines))
+	}
+	return out
+}
+
+// events describes the arrival of the request, the router's state at that time, and each line
+// about the request.
+func (t *Timeline) events() []string {
+	end := t.endLine()
+	var out []string
+	if end.Message != "" {
+		came := end.Time.Add(-time.Duration(end.number("took_ms") * float64(time.Millisecond)))
+		out = append(out, fmt.Sprintf("%s  %s reads it: organisation %s, route %s, %.0f tokens in, %.0f out",
+			clockText(came), end.Router, orDefault(end.text("organisation"), "none"), orDefault(end.text("route"), "none"), end.number("input"), end.number("output")))
+		out = append(out, t.routerState(end.Router, came)...)
+	}
+	for _, l := range t.RequestLines {
+		out = append(out, clockText(l.Time)+"  "+l.Router+" "+describe(l))
+	}
+	return out
+}
+
+// noLinesFound returns the explanation for a request that no line names. It lists the lines that
+// routers dropped, since the request may be among them.
+func (t *Timeline) noLinesFound() Explanation {
+	out := Explanation{ID: t.ID, Events: []string{}, Cause: "no line has this id", Because: []string{}}
+	if t.DroppedLines > 0 {
+		out.Cause += fmt.Sprintf("; %d lines were left out by routers that wrote too many", t.DroppedLines)
+	}
+	for _, l := range t.StateLines {
+		if l.Message == msgLinesDropped {
+			out.Because = append(out.Because, fmt.Sprintf("%s  %s left out %.0f", clockText(l.Time), l.Router, l.number("lines")))
+		}
+	}
+	return out
+}
+
+// routerState describes the router's configuration, targets and store when the request came.
+func (t *Timeline) routerState(router string, at time.Time) []string {
+	var out []string
+	if l := t.lastBefore("configuration in force", router, at, nil); l.Message != "" {
+		out = append(out, fmt.Sprintf("    configuration %.0f, for %s, from %s", l.number("version"), ageText(at.Sub(l.Time)), l.text("from")))
+	}
+	if l := t.lastBefore("targets known", router, at, nil); l.Message != "" {
+		out = append(out, fmt.Sprintf("    %.0f targets (%.0f leaving, %.0f lapsed) as of %s before, from %s",
+			l.number("targets"), l.number("leaving"), l.number("lapsed"), ageText(at.Sub(l.Time)), l.text("from")))
+	}
+	lost := t.lastBefore("store lost", router, at, nil)
+	if back := t.lastBefore("store regained", router, at, nil); lost.Message != "" && back.Time.Before(lost.Time) {
+		out = append(out, fmt.Sprintf("    the store was lost to it %s before", ageText(at.Sub(lost.Time))))
+	}
+	return out
+}
+
+// describe puts a line about the request into words.
+func describe(l Line) string {
+	switch l.Message {
+	case msgRequest:
+		how := fmt.Sprintf("%s, status %.0f", l.text("outcome"), l.number("status"))
+		if why := l.text("reason"); why != "" {
+			how += ", " + why
+		}
+		return fmt.Sprintf("ends it: %s; waited %.1f ms, %.0f sends, first %.1f ms, took %.1f ms", how, l.number("waited_ms"), l.number("sends"), l.number("first_ms"), l.number("took_ms"))
+	case msgSentAgain:
+		return fmt.Sprintf("leaves target %s: %s (%s) after %.0f events", l.text("target"), l.text("reason"), l.text("cause"), l.number("events"))
+	case msgGivenUp:
+		return fmt.Sprintf("gives up at target %s: %s (%s) after %.0f events", l.text("target"), l.text("reason"), l.text("cause"), l.number("events"))
+	}
+	return formatLine(l)
+}
+
+// formatLine returns a line's message and its fields, sorted by name.
+func formatLine(l Line) string {
+	out := []string{l.Message}
+	for _, name := range sortedNames(l.Fields) {
+		out = append(out, fmt.Sprintf("%s=%v", name, l.Fields[name]))
+	}
+	return strings.Join(out, " ")
+}
+
+func sortedNames(fields map[string]any) []string {
+	var names []string
+	for name := range fields {
+		if !slices.Contains([]string{"time", "level", "msg", "router"}, name) {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+func clockText(t time.Time) string { return t.Format("15:04:05.000") }
+
+func ageText(d time.Duration) string { return d.Round(time.Millisecond).String() }
+
+func orDefault(a, b string) string {
+	if a == "" {
+		return b
+	}
+	return a
+}
