--- a/internal/gateway/quarantine_internal_test.go
+++ b/internal/gateway/quarantine_internal_test.go
@@ -15,8 +15,8 @@
 	"github.com/stepcroft/stepcroft/internal/quarantine"
 )
 
-// listedAs returns a target's entry.
-func listedAs(t *testing.T, revision int64, target balance.Target) message.StoredObject {
+// targetEntry returns a target's entry in the store.
+func targetEntry(t *testing.T, revision int64, target balance.Target) message.StoredObject {
 	t.Helper()
 	value, err := json.Marshal(target)
 	if err != nil {
@@ -25,26 +25,26 @@
 	return message.StoredObject{Name: target.ID, Revision: revision, Value: value}
 }
 
-// TestRestartTellsOfTheEnd has a target break off an answer, which is no end of its process
-// by itself, and start again under its id.
-func TestRestartTellsOfTheEnd(t *testing.T) {
-	g := newOwn(t)
+// TestRestartCountsAsCrash has a target break off a response, which does not count as a crash by
+// itself, and then restart under its id, which shows that the earlier process has crashed.
+func TestRestartCountsAsCrash(t *testing.T) {
+	g := newConfigured(t)
 	target := balance.Target{ID: "t", Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 1, Born: 5}
-	g.SetTargets(8, []message.StoredObject{listedAs(t, 8, target)})
+	g.SetTargets(8, []message.StoredObject{targetEntry(t, 8, target)})
 	k := quarantine.KeyOf("o", "POST", "/x", nil)
 	if n := (suspects{g}).RecordBreak(context.Background(), forward.Break{Key: k, Organisation: "o", Target: target}); n != 0 {
-		t.Fatalf("%d ends counted before", n)
+		t.Fatalf("%d crashes counted before the restart, want 0", n)
 	}
 	target.Born = 6
-	g.SetTargets(9, []message.StoredObject{listedAs(t, 9, target)})
-	g.SetTargets(10, []message.StoredObject{listedAs(t, 10, target)})
+	g.SetTargets(9, []message.StoredObject{targetEntry(t, 9, target)})
+	g.SetTargets(10, []message.StoredObject{targetEntry(t, 10, target)})
 	if n := len(g.Suspects(context.Background())); n != 1 || (suspects{g}).View().Crashes(k) != 1 {
-		t.Errorf("%d suspected, %d ends counted after it", n, (suspects{g}).View().Crashes(k))
+		t.Errorf("%d suspected, %d crashes counted after the restart, want 1 and 1", n, (suspects{g}).View().Crashes(k))
 	}
 }
 
-// saysThatItLeaves makes the only target of a service say in an answer that it leaves.
-func saysThatItLeaves(g *Gateway) {
+// reportLeaving makes the only target of a service report in a response that it is leaving.
+func reportLeaving(g *Gateway) {
 	g.loop.PostAndWait(context.Background(), func(s *balance.State, now time.Time) {
 		t := &balance.Ticket{
 			ID: "r", Service: "s", Goal: time.Second, Arrived: now, Deadline: now.Add(time.Second), Decision: make(chan balance.Decision, 1),
@@ -55,30 +55,30 @@
 	})
 }
 
-// TestUnannouncedEnds says which ends of targets are counted against what ran there.
-func TestUnannouncedEnds(t *testing.T) {
+// TestUnexpectedExits tests which exits of targets count against the requests that ran there.
+func TestUnexpectedExits(t *testing.T) {
 	target := balance.Target{ID: "t", Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 1, Born: 5}
 	leaving, again := target, target
 	leaving.Leaving, again.Born = true, 6
 	gone := []catalog.Change{{StoredObject: message.StoredObject{Name: "t", Revision: 9}, Gone: true}}
 	cases := map[string]struct {
-		// before is what the router hears of it before it ends.
+		// before tells the router something about the target before it exits.
 		before func(g *Gateway)
 		ended  bool
 		want   int
 	}{
-		"a listed target":                {ended: true, want: 1},
-		"a broken answer alone":          {},
-		"one that said so in an answer":  {ended: true, before: saysThatItLeaves},
-		"one that said that it leaves":   {ended: true, before: func(g *Gateway) { g.SetTargets(9, []message.StoredObject{listedAs(t, 9, leaving)}) }},
-		"one whose entry went":           {ended: true, before: func(g *Gateway) { g.ChangeTargets(9, gone) }},
-		"one that started again":         {ended: true, before: func(g *Gateway) { g.SetTargets(9, []message.StoredObject{listedAs(t, 9, again)}) }, want: 1},
-		"one that lapsed with the store": {ended: true, before: func(g *Gateway) { g.StoreUnstable(); g.ChangeTargets(9, gone) }, want: 1},
+		"a listed target":               {ended: true, want: 1},
+		"a broken response alone":       {},
+		"one that left by its response": {ended: true, before: reportLeaving},
+		"one that left by its entry":    {ended: true, before: func(g *Gateway) { g.SetTargets(9, []message.StoredObject{targetEntry(t, 9, leaving)}) }},
+		"one whose entry was removed":   {ended: true, before: func(g *Gateway) { g.ChangeTargets(9, gone) }},
+		"one that restarted":            {ended: true, before: func(g *Gateway) { g.SetTargets(9, []message.StoredObject{targetEntry(t, 9, again)}) }, want: 1},
+		"one with a lapsed entry":       {ended: true, before: func(g *Gateway) { g.StoreUnstable(); g.ChangeTargets(9, gone) }, want: 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			g := newOwn(t)
-			g.SetTargets(8, []message.StoredObject{listedAs(t, 8, target)})
+			g := newConfigured(t)
+			g.SetTargets(8, []message.StoredObject{targetEntry(t, 8, target)})
 			if c.before != nil {
 				c.before(g)
 			}
@@ -86,37 +86,38 @@
 			defer cancel()
 			k := quarantine.KeyOf("o", "POST", "/x", nil)
 			if got := (suspects{g}).RecordBreak(ctx, forward.Break{Key: k, Organisation: "o", Target: target, TargetExited: c.ended}); got != c.want {
-				t.Errorf("%d ends counted, want %d", got, c.want)
+				t.Errorf("%d crashes counted, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// kept counts what is to be kept, by key.
-type kept struct {
+// countingKeeper is a Keeper that counts the calls of Keep by key.
+type countingKeeper struct {
 	mu    sync.Mutex
 	count map[quarantine.Key]int
 }
 
-func (k *kept) Keep(r quarantine.Record) bool {
+func (k *countingKeeper) Keep(r quarantine.Record) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.count[r.Key]++
 	return true
 }
 
-func (k *kept) Drop(quarantine.Key) bool { return true }
+func (k *countingKeeper) Drop(quarantine.Key) bool { return true }
 
-// Requests that are held back are forgotten for good where a store that came back from an older
-// copy lacks them and then all routers are killed.
+// TestHeldBackRequestsAfterStoreCameBackOlder guards against losing held-back requests: a store
+// that came back from an older copy may lack them, and they would be lost if all routers were
+// killed without having written them again.
 func TestHeldBackRequestsAfterStoreCameBackOlder(t *testing.T) {
-	g := newOwn(t)
-	keeper := &kept{count: map[quarantine.Key]int{}}
+	g := newConfigured(t)
+	keeper := &countingKeeper{count: map[quarantine.Key]int{}}
 	key := quarantine.KeyOf("o", "POST", "/x", nil)
 	g.loop.PostAndWait(context.Background(), func(*balance.State, time.Time) { g.Keeper = keeper })
 	for i := range 3 {
 		target := balance.Target{ID: fmt.Sprint("t", i), Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 1, Born: 5}
-		g.SetTargets(int64(8+i), []message.StoredObject{listedAs(t, int64(8+i), target)})
+		g.SetTargets(int64(8+i), []message.StoredObject{targetEntry(t, int64(8+i), target)})
 		(suspects{g}).RecordBreak(context.Background(), forward.Break{Key: key, Organisation: "o", Target: target, TargetExited: true})
 	}
 	count := func() int {
@@ -128,12 +129,12 @@
 	if before == 0 {
 		t.Fatal("the request is not held back")
 	}
-	// Each kind that is followed tells of it.
+	// The method is called once for each kind of object that is watched.
 	for range 3 {
 		g.StoreCameBackOlder(1)
 	}
 	g.loop.PostAndWait(context.Background(), func(*balance.State, time.Time) {})
 	if n := count() - before; n != 1 {
-		t.Errorf("kept %d times after the store came back, want once", n)
+		t.Errorf("written %d times after the store came back, want once", n)
 	}
 }
