--- a/cmd/stepcroft/main.go
+++ b/cmd/stepcroft/main.go
@@ -1,5 +1,5 @@
-// Command stepcroft routes requests of many organisations to a shared pool
-// of model engines. Run it with --help for its commands.
+// Command stepcroft routes requests of many organisations to shared pools of model engines and to
+// plain services. Run it with --help for its commands.
 package main
 
 import (
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,5 @@
-// Package cli is the command line: one binary with a command for each role.
+// Package cli implements the stepcroft command line: a command for each role that the binary can
+// run as, and commands for operators.
 package cli
 
 import (
@@ -15,47 +16,48 @@
 	"github.com/stepcroft/stepcroft/internal/settings"
 )
 
-// Version is the program's version.
+// Version is the program's version, as printed by --version.
 const Version = "0.1.0"
 
 // Exit codes of the program.
 const (
 	ExitOK = iota
-	// ExitFailed means that the command failed for a reason not below.
+	// ExitFailed means that the command failed for a reason that has no code of its own.
 	ExitFailed
-	// ExitUsage means that the command line or a file is wrong.
+	// ExitUsage means that the command line, a settings file or an object's content is invalid.
 	ExitUsage
-	// ExitConflict means that an object was changed by someone else.
+	// ExitConflict means that someone else changed the object since the command read it.
 	ExitConflict
-	// ExitUnavailable means that the platform did not answer; what was asked
-	// for is not accepted.
+	// ExitUnavailable means that the platform did not answer. A change that the command
+	// tried to write does not count as accepted.
 	ExitUnavailable
-	// ExitPromise means that a run of load broke a promise.
+	// ExitPromise means that a load run broke a guarantee to callers; see errPromise.
 	ExitPromise
 )
 
-// errPromise means that a run lost, doubled or mixed up requests.
-var errPromise = errors.New("a promise was broken")
+// errPromise means that a load run lost requests, ran them twice, answered them wrongly or
+// violated an invariant.
+var errPromise = errors.New("a guarantee to callers was broken")
 
-// commands is the command line.
+// commands defines the commands of the program. Kong derives names and flags from it.
 type commands struct {
 	Version  kong.VersionFlag `help:"Print the version and exit."`
-	Demo     demoCommand      `cmd:"" help:"Run a small fleet with stand-ins on this machine for 20 s and print what it did."`
+	Demo     demoCommand      `cmd:"" help:"Run a small fleet with stand-ins on this machine for 20 s and print its results."`
 	Route    routeCommand     `cmd:"" help:"Run one router."`
-	Serve    serveCommand     `cmd:"" help:"Run one router on the platform that its environment names."`
-	Load     loadCommand      `cmd:"" help:"Run a scenario with real routers and stand-ins on loopback, under one policy or several."`
-	Latency  latencyCommand   `cmd:"" help:"Compare requests through a router with requests to its engine."`
-	Standin  standinCommand   `cmd:"" help:"Run a stand-in of the platform, an engine or a plain service."`
+	Serve    serveCommand     `cmd:"" help:"Run one router on the platform that the environment variables name."`
+	Load     loadCommand      `cmd:"" help:"Run a scenario with real routers and stand-ins on loopback, under one or several policies."`
+	Latency  latencyCommand   `cmd:"" help:"Compare the latency of requests through a router with that of requests sent to its engine directly."`
+	Standin  standinCommand   `cmd:"" help:"Run a stand-in for the platform, an engine or a plain service."`
 	Org      orgCommand       `cmd:"" help:"List, show, create, edit or apply organisations."`
-	Template templateCommand  `cmd:"" help:"List, show, create, edit or apply templates of organisations."`
-	Policy   policyCommand    `cmd:"" help:"List, show, create, edit or apply pools and the policies that share them."`
-	Status   statusCommand    `cmd:"" help:"Print what a router is doing."`
+	Template templateCommand  `cmd:"" help:"List, show, create, edit or apply templates for organisations."`
+	Policy   policyCommand    `cmd:"" help:"List, show, create, edit or apply pools and the fair policies that divide their capacity."`
+	Status   statusCommand    `cmd:"" help:"Print routers' metrics."`
 
-	Explain    explainCommand    `cmd:"" help:"Tell from routers' logs what happened to a request and why."`
-	Quarantine quarantineCommand `cmd:"" help:"List, show, release or hold requests that end the targets that run them."`
+	Explain    explainCommand    `cmd:"" help:"Explain from routers' logs what happened to a request and why."`
+	Quarantine quarantineCommand `cmd:"" help:"List, show, release or hold requests that crash the targets that run them."`
 }
 
-// streams is where commands write.
+// streams holds the standard output and standard error that commands write to.
 type streams struct {
 	out, err io.Writer
 }
@@ -68,8 +70,8 @@
 		&c,
 		kong.Name("stepcroft"),
 		kong.Description("A fleet of routers that lets organisations share model engines fairly.\n\n"+
-			"Exit codes: 0 done, 1 failed, 2 command line or file wrong, 3 object changed by someone else, "+
-			"4 platform does not answer, 5 a load run broke a promise."),
+			"Exit codes: 0 success, 1 failure, 2 invalid command line or file, 3 object changed by someone else, "+
+			"4 platform does not answer, 5 a load run broke a guarantee to callers."),
 		kong.Vars{"version": Version},
 		kong.Writers(out, errOut),
 		kong.Exit(func(n int) { code = n }),
@@ -98,6 +100,7 @@
 	return ExitOK
 }
 
+// exitCode maps an error to the program's exit code.
 func exitCode(err error) int {
 	switch {
 	case errors.Is(err, settings.ErrInvalid), errors.Is(err, errUsage):
@@ -112,5 +115,5 @@
 	return ExitFailed
 }
 
-// errUsage means that the command line does not make sense.
-var errUsage = errors.New("wrong usage")
+// errUsage means that the command line is invalid.
+var errUsage = errors.New("invalid usage")
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -23,24 +23,26 @@
 
 var platform *standin.Platform
 
-// run runs the command line and returns its code and what it wrote.
+// run runs the command line and returns its exit code and its output.
 func run(args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	code = cli.Main(args, &o, &e)
 	return code, o.String(), e.String()
 }
 
-// at runs a command against the stand-in of the platform.
+// at runs a command against the stand-in for the platform.
 func at(args ...string) (code int, out, errOut string) {
 	return run(append(args, "--platform", platform.Address())...)
 }
 
+// file writes a temporary YAML file and returns its name.
 func file(text string) string {
 	name := filepath.Join(GinkgoT().TempDir(), "file.yaml")
 	Expect(os.WriteFile(name, []byte(text), 0o600)).To(Succeed())
 	return name
 }
 
+// usageCase is a command line with its exit code and a substring of its output.
 type usageCase struct {
 	args []string
 	code int
@@ -57,7 +59,7 @@
 	"policy names":    {[]string{"policy", "names"}, cli.ExitOK, "share"},
 	"no platform":     {[]string{"org", "list", "--platform", "127.0.0.1:1"}, cli.ExitUnavailable, "platform does not answer"},
 	"no content":      {[]string{"quarantine", "release", "xyz", "--router", "127.0.0.1:1"}, cli.ExitUsage, "hexadecimal"},
-	"no such router":  {[]string{"quarantine", "list", "--router", "127.0.0.1:1"}, cli.ExitFailed, "ask router"},
+	"no such router":  {[]string{"quarantine", "list", "--router", "127.0.0.1:1"}, cli.ExitFailed, "call router"},
 	"no router":       {[]string{"status", "--admin", "127.0.0.1:1"}, cli.ExitFailed, "did not answer"},
 }
 
@@ -70,18 +72,18 @@
 	AfterEach(func() { platform.Stop() })
 
 	for name, c := range usageCases {
-		It("has a code and a message: "+name, func() {
+		It("exits with a code and prints a message: "+name, func() {
 			code, out, errOut := run(c.args...)
 			Expect(code).To(Equal(c.code), out+errOut)
 			Expect(out + errOut).To(ContainSubstring(c.says))
 		})
 	}
 
-	It("checks settings, and says all that is wrong with them", func() {
+	It("validates settings and reports every error in them", func() {
 		good := file("id: r1\nzone: a\nlisten: 127.0.0.1:1\npeer_listen: 127.0.0.1:2\nplatform: 127.0.0.1:3\n")
 		code, out, _ := run("route", "--check", "--settings", good)
 		Expect(code).To(Equal(cli.ExitOK))
-		Expect(out).To(ContainSubstring("are right"))
+		Expect(out).To(ContainSubstring("are valid"))
 		code, _, errOut := run("route", "--check", "--settings", file("id: r1\nlisten: here\ncolour: red\n"))
 		Expect(code).To(Equal(cli.ExitUsage))
 		Expect(strings.Count(errOut, "file.yaml:")).To(Equal(5), errOut)
@@ -110,7 +112,7 @@
 		Expect(out).To(ContainSubstring("limits.queue=5"))
 	})
 
-	It("tells an operator who loses a race, and what differs", func() {
+	It("reports a concurrent change as a conflict and prints the difference", func() {
 		at("org", "create", "water", "--set", "weight=2")
 		code, _, errOut := at("org", "create", "water", "--set", "weight=5")
 		Expect(code).To(Equal(cli.ExitConflict))
@@ -119,7 +121,7 @@
 		Expect(code).To(Equal(cli.ExitConflict))
 	})
 
-	It("refuses bad values and names the field", func() {
+	It("rejects invalid values and names the field", func() {
 		for _, set := range []string{"weight=-1", "weight=much", "colour=red", "limits.queue=-5", "nonsense"} {
 			code, _, errOut := at("org", "create", "water", "--set", set)
 			Expect(code).To(Equal(cli.ExitUsage), set)
@@ -130,7 +132,7 @@
 		Expect(errOut).To(ContainSubstring("share"))
 	})
 
-	It("applies files, in order and once", func() {
+	It("applies the objects of a file in order, and leaves unchanged ones alone", func() {
 		name := file("name: small\nweight: 1\n---\nname: large\nweight: 4\n")
 		code, out, _ := at("template", "apply", "-f", name)
 		Expect(code).To(Equal(cli.ExitOK))
@@ -142,14 +144,14 @@
 		Expect(errOut).To(ContainSubstring(":4: weight"))
 	})
 
-	It("finds out by itself that a write took effect whose answer was lost", func() {
+	It("reports a write as accepted if it took effect but its answer was lost", func() {
 		platform.SetFaults(standin.Faults{LoseAnswers: true})
 		code, out, errOut := at("org", "create", "water", "--set", "weight=2")
 		Expect(code).To(Equal(cli.ExitOK), errOut)
 		Expect(out).To(ContainSubstring("accepted, version 1"))
 	})
 
-	It("does not say accepted in an outage", func() {
+	It("does not report a write as accepted in an outage", func() {
 		platform.SetFaults(standin.Faults{Outage: true})
 		code, _, errOut := at("org", "create", "water")
 		Expect(code).To(Equal(cli.ExitUnavailable))
@@ -165,7 +167,7 @@
 	})
 })
 
-// An organisation's API key is kept as its hash.
-var _ = It("hashes keys as the operators' page says", func() {
+// API keys are stored as hashes, which operators compute as documented; the hash must not change.
+var _ = It("hashes API keys as documented for operators", func() {
 	Expect(config.HashKey("secret")).To(Equal("2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b"))
 })
--- a/internal/cli/edit.go
+++ b/internal/cli/edit.go
@@ -13,13 +13,13 @@
 	"github.com/stepcroft/stepcroft/internal/settings"
 )
 
-// edited returns the T of a YAML text after setting fields in it. Each of
-// set is a path and a value, such as limits.queue=50; the value is YAML.
+// edited decodes a YAML text as a T after changing fields in it. Each entry of set is the path of
+// a field and its new value in YAML, such as limits.queue=50.
 func edited[T any](text []byte, set []string) (T, error) {
 	var zero T
 	fields := map[string]any{}
 	if err := yaml.Unmarshal(text, &fields); err != nil {
-		return zero, errors.Wrap(err, "read YAML")
+		return zero, errors.Wrap(err, "parse YAML")
 	}
 	for _, s := range set {
 		path, value, ok := strings.Cut(s, "=")
@@ -39,6 +39,7 @@
 	return settings.Decode[T]("command line", out)
 }
 
+// setField sets the field at a path, and creates the mappings on the way that do not exist.
 func setField(fields map[string]any, path []string, value any) {
 	if len(path) == 1 {
 		fields[path[0]] = value
@@ -52,7 +53,7 @@
 	setField(next, path[1:], value)
 }
 
-// flatten returns a JSON object as sorted lines of path=value.
+// flatten returns the fields of a JSON object as sorted lines of path=value.
 func flatten(body []byte) []string {
 	var lines []string
 	for path, value := range leaves(body) {
@@ -62,8 +63,7 @@
 	return lines
 }
 
-// difference returns a line for each field that differs between two JSON
-// objects.
+// difference returns a line for each field that differs between two JSON objects.
 func difference(before, after []byte) []string {
 	a, b := leaves(before), leaves(after)
 	paths := maps.Clone(a)
@@ -84,6 +84,8 @@
 	return "(not set)"
 }
 
+// leaves maps the path of each field of a JSON object that is not itself an object to its value in
+// JSON. Text that is not JSON has no fields.
 func leaves(body []byte) map[string]string {
 	out := map[string]string{}
 	var v any
@@ -93,6 +95,7 @@
 	return out
 }
 
+// collect adds the fields of v, whose own path is path, to out.
 func collect(out map[string]string, path string, v any) {
 	fields, ok := v.(map[string]any)
 	if !ok {
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -14,18 +14,18 @@
 // explainCommand is "stepcroft explain".
 type explainCommand struct {
 	ID     string   `help:"The request's id." required:""`
-	Output string   `help:"text or json." short:"o" enum:"text,json" default:"text"`
-	Files  []string `arg:"" help:"Routers' logs, plain or gzip; - for standard input, which is read once: requests beside this one are not counted then."`
+	Output string   `help:"Output format: text or json." short:"o" enum:"text,json" default:"text"`
+	Files  []string `arg:"" help:"Routers' logs, plain or compressed with gzip; - for standard input. Standard input is read only once, so other requests in it are not counted for comparison."`
 }
 
 const (
-	// progressEvery is the number of bytes after which progress is shown.
+	// progressEvery is how many bytes are read between two lines of progress.
 	progressEvery = 64 << 20
-	// badShown is how many lines that cannot be read are shown.
+	// badShown bounds the number of malformed lines that are reported one by one.
 	badShown = 10
 )
 
-// progress shows how much was read.
+// progress is a reader that writes to out how much was read.
 type progress struct {
 	io.Reader
 	out         io.Writer
@@ -42,7 +42,7 @@
 	return n, err
 }
 
-// Run tells the story of a request.
+// Run explains what happened to a request.
 func (c *explainCommand) Run(s streams) error {
 	story := explain.New(c.ID)
 	bad := 0
@@ -52,16 +52,16 @@
 		}
 	}, false)
 	if bad > badShown {
-		fmt.Fprintf(s.err, "%d lines cannot be read\n", bad)
+		fmt.Fprintf(s.err, "%d lines could not be parsed\n", bad)
 	}
 	story.Sort()
-	// What cannot be read was told the first time.
+	// The first pass reported the lines and files that cannot be read.
 	if err := c.read(s, story.AddNeighbour, func(explain.BadLine) {}, true); failed == nil {
 		failed = err
 	}
 	if c.Output == "json" {
 		if err := json.NewEncoder(s.out).Encode(story.Explain()); err != nil {
-			return errors.Wrap(err, "write story")
+			return errors.Wrap(err, "write explanation")
 		}
 		return failed
 	}
@@ -71,8 +71,9 @@
 	return failed
 }
 
-// read reads all files; again leaves out what can be read only once. A file that fails does
-// not keep the others from being read.
+// read passes the lines of all files to f, and goes on with the next file if one fails. The second
+// pass, with again set, skips standard input, which can be read only once, and does not report
+// errors once more.
 func (c *explainCommand) read(s streams, f func(explain.Line), bad func(explain.BadLine), again bool) error {
 	var failed error
 	for _, name := range c.Files {
--- a/internal/cli/explain_test.go
+++ b/internal/cli/explain_test.go
@@ -10,7 +10,7 @@
 var _ = Describe("explain", func() {
 	log := `{"time":"2026-01-01T00:00:10Z","msg":"request","router":"a","id":"r","outcome":"refused","status":503,"reason":"no-target"}` + "\n"
 
-	It("tells the story of a request, and the cause", func() {
+	It("prints what happened to a request and the cause", func() {
 		code, out, _ := run("explain", "--id", "r", file(log))
 		Expect(code).To(Equal(cli.ExitOK))
 		Expect(out).To(And(ContainSubstring("status 503, no-target"), ContainSubstring("cause: the service had no target")))
@@ -18,7 +18,7 @@
 		Expect(out).To(ContainSubstring(`"cause":"the service had no target"`))
 	})
 
-	It("reads the rest where a line or a file is bad, and says so", func() {
+	It("reports unreadable lines and files and reads the others", func() {
 		code, out, errOut := run("explain", "--id", "r", "/nowhere.log", file("{\n"+log))
 		Expect(code).To(Equal(cli.ExitFailed))
 		Expect(out).To(ContainSubstring("no-target"))
--- a/internal/cli/latency.go
+++ b/internal/cli/latency.go
@@ -13,16 +13,16 @@
 	Engine   string        `help:"Address of the engine behind it." required:""`
 	Admin    string        `help:"Admin address of the router." required:""`
 	Key      string        `help:"API key." required:""`
-	Model    string        `help:"Model to ask for." required:""`
-	Callers  int           `help:"Requests made at the same time." default:"8"`
-	Rate     float64       `help:"Requests a second of each caller." default:"20"`
-	Duration time.Duration `help:"How long to go on." default:"10s"`
-	Tokens   int           `help:"Tokens of each answer." default:"8"`
-	Stream   bool          `help:"Ask for streamed answers."`
-	Direct   bool          `help:"Send every other request to the engine itself."`
+	Model    string        `help:"Model to request." required:""`
+	Callers  int           `help:"Number of concurrent callers." default:"8"`
+	Rate     float64       `help:"Requests per second of each caller." default:"20"`
+	Duration time.Duration `help:"Duration of the run." default:"10s"`
+	Tokens   int           `help:"Tokens in each answer." default:"8"`
+	Stream   bool          `help:"Request streamed answers."`
+	Direct   bool          `help:"Send every other request directly to the engine."`
 }
 
-// Run compares and prints the result as JSON.
+// Run measures the latencies and prints the comparison as JSON.
 func (c *latencyCommand) Run(ctx context.Context, s streams) error {
 	result, err := latency.Compare(ctx, latency.Options{
 		Router: c.Router, Engine: c.Engine, Admin: c.Admin, Key: c.Key, Model: c.Model, Callers: c.Callers,
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -21,11 +21,11 @@
 
 // demoCommand is "stepcroft demo".
 type demoCommand struct {
-	Duration time.Duration `help:"How long the load lasts." default:"20s"`
+	Duration time.Duration `help:"Duration of the load." default:"20s"`
 	Seed     uint64        `help:"Seed of the load." default:"1"`
 }
 
-// Run runs the demo.
+// Run runs the embedded scenario under its pools' own policies and prints the report.
 func (c *demoCommand) Run(ctx context.Context, s streams) error {
 	sc, err := settings.Decode[scenario.Scenario]("demo.yaml", demoScenario)
 	if err != nil {
@@ -44,6 +44,8 @@
 	return printReport(s.out, result)
 }
 
+// printReport prints the results under each policy and a comparison of the policies. It returns an
+// error if a run broke a guarantee to callers.
 func printReport(out io.Writer, result report.Comparison) error {
 	for _, p := range result.Policies {
 		fmt.Fprintf(out, "\npolicy %s\n", p.Policy)
@@ -62,7 +64,7 @@
 	return promise(result)
 }
 
-// promise returns an error if a run broke a promise to callers.
+// promise returns errPromise if a run broke a guarantee to callers.
 func promise(result report.Comparison) error {
 	for _, p := range result.Policies {
 		if p.Lost+p.Doubled+p.Wrong+p.NotRunButRan > 0 || p.Violations > 0 {
@@ -75,26 +77,26 @@
 // loadCommand is "stepcroft load".
 type loadCommand struct {
 	Scenario  string        `help:"Scenario file." required:"" type:"path"`
-	Policy    []string      `help:"Policies to compare, comma-separated: those of 'stepcroft policy names', default, omniscient." default:"default"`
-	Routers   int           `help:"Number of routers, instead of the scenario's."`
-	Scale     int           `help:"Multiply routers, engines and load." default:"1"`
-	Stretch   float64       `help:"Make engines and load slower by this factor." default:"1"`
-	Skew      bool          `help:"Let every other organisation land on a single router."`
+	Policy    []string      `help:"Policies to compare, comma-separated: any of 'stepcroft policy names', default, omniscient." default:"default"`
+	Routers   int           `help:"Number of routers; overrides the scenario's."`
+	Scale     int           `help:"Multiply the numbers of routers and engines and the load by this factor." default:"1"`
+	Stretch   float64       `help:"Slow engines and load down by this factor." default:"1"`
+	Skew      bool          `help:"Send all requests of every other organisation to a single router."`
 	Seed      uint64        `help:"Seed of the load." default:"1"`
-	Duration  time.Duration `help:"How long the load lasts, instead of the scenario's."`
-	ViewDelay time.Duration `help:"Hold routers' reports back for so long."`
-	Format    string        `help:"text or json." enum:"text,json" default:"text"`
-	Plot      string        `help:"Write a picture of the gap over time to this SVG file." type:"path"`
+	Duration  time.Duration `help:"Duration of the load; overrides the scenario's."`
+	ViewDelay time.Duration `help:"Delay the use of other routers' reports by this time."`
+	Format    string        `help:"Output format: text or json." enum:"text,json" default:"text"`
+	Plot      string        `help:"Write a plot of the fairness gap over time to this SVG file." type:"path"`
 }
 
-// Run runs the scenario.
+// Run runs the scenario, adjusted by the flags, and prints the report.
 func (c *loadCommand) Run(ctx context.Context, s streams) error {
 	sc, err := settings.ReadFile[scenario.Scenario](c.Scenario)
 	if err != nil {
 		return err
 	}
 	if c.Scale < 1 || c.Stretch <= 0 {
-		return errors.Wrap(errUsage, "--scale is below 1, or --stretch not above 0")
+		return errors.Wrap(errUsage, "--scale must be at least 1 and --stretch greater than 0")
 	}
 	sc = sc.Scaled(c.Scale).Stretched(c.Stretch)
 	if c.Skew {
--- a/internal/cli/objects.go
+++ b/internal/cli/objects.go
@@ -19,7 +19,7 @@
 	"github.com/stepcroft/stepcroft/internal/settings"
 )
 
-// spec is the content of an object that operators edit.
+// spec is the content of a platform object that operators can edit.
 type spec interface {
 	Kind() string
 	Key() string
@@ -43,7 +43,7 @@
 
 type policyNames struct{}
 
-// Run prints the names.
+// Run prints the names of the policies, one per line.
 func (policyNames) Run(s streams) error {
 	for _, name := range fair.Names() {
 		fmt.Fprintln(s.out, name)
@@ -51,21 +51,21 @@
 	return nil
 }
 
-// objectCommands are the commands for one kind of object.
+// objectCommands holds the commands for one kind of object.
 type objectCommands[T spec] struct {
-	List   listCommand[T]   `cmd:"" help:"List all."`
-	Show   showCommand[T]   `cmd:"" help:"Show one."`
-	Create createCommand[T] `cmd:"" help:"Create one; it is an error if it exists."`
-	Edit   editCommand[T]   `cmd:"" help:"Change fields of one."`
-	Apply  applyCommand[T]  `cmd:"" help:"Make the platform's objects equal to those of a file."`
+	List   listCommand[T]   `cmd:"" help:"List all objects."`
+	Show   showCommand[T]   `cmd:"" help:"Show an object."`
+	Create createCommand[T] `cmd:"" help:"Create an object; fails if it exists."`
+	Edit   editCommand[T]   `cmd:"" help:"Change fields of an object."`
+	Apply  applyCommand[T]  `cmd:"" help:"Create or update the objects in a file; others stay."`
 }
 
-// platformFlag names the platform.
+// platformFlag is the flag for the platform's address.
 type platformFlag struct {
 	Platform string `help:"Address of the platform's object API." env:"STEPCROFT_PLATFORM" default:"127.0.0.1:7000"`
 }
 
-// store is the objects of one kind in the platform.
+// store reads and writes the objects of one kind on the platform.
 type store[T spec] struct{ client *platform.Client }
 
 func open[T spec](f platformFlag) store[T] { return store[T]{platform.New(f.Platform)} }
@@ -75,16 +75,18 @@
 	return zero.Kind()
 }
 
+// object returns an object as stored and its decoded content.
 func (s store[T]) object(ctx context.Context, name string) (port.Object, T, error) {
 	var v T
 	o, err := s.client.Object(ctx, s.kind(), name)
 	if err != nil {
 		return o, v, err
 	}
-	return o, v, errors.Wrapf(json.Unmarshal(o.Spec, &v), "read %s %q", s.kind(), name)
+	return o, v, errors.Wrapf(json.Unmarshal(o.Spec, &v), "decode %s %q", s.kind(), name)
 }
 
-// put writes v over a version and returns it as stored.
+// put writes v if the object still has a version, 0 if it must not exist, and returns the object as
+// stored. The operation's ID lets the client recognise its own write if the answer was lost.
 func (s store[T]) put(ctx context.Context, v T, version uint64) (port.Object, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -98,10 +100,10 @@
 
 type listCommand[T spec] struct {
 	platformFlag
-	Output string `help:"table or json." short:"o" enum:"table,json" default:"table"`
+	Output string `help:"Output format: table or json." short:"o" enum:"table,json" default:"table"`
 }
 
-// Run lists the objects.
+// Run lists the objects of the kind.
 func (c *listCommand[T]) Run(ctx context.Context, s streams) error {
 	st := open[T](c.platformFlag)
 	changes, err := st.client.Changes(ctx, 0, 0)
@@ -125,6 +127,7 @@
 	return t.Flush()
 }
 
+// writeJSON writes v to the standard output as indented JSON.
 func writeJSON(s streams, v any) error {
 	encoder := json.NewEncoder(s.out)
 	encoder.SetIndent("", "  ")
@@ -134,7 +137,7 @@
 type showCommand[T spec] struct {
 	platformFlag
 	Name   string `arg:"" help:"Name of the object."`
-	Output string `help:"yaml or json." short:"o" enum:"yaml,json" default:"yaml"`
+	Output string `help:"Output format: yaml or json." short:"o" enum:"yaml,json" default:"yaml"`
 }
 
 // Run shows one object.
@@ -155,15 +158,16 @@
 	return err
 }
 
-// changeFlags are common to the commands that write.
+// changeFlags holds the flags of all commands that write objects.
 type changeFlags struct {
 	platformFlag
-	DryRun bool   `help:"Say what would change and change nothing."`
-	Output string `help:"text or json." short:"o" enum:"text,json" default:"text"`
+	DryRun bool   `help:"Print what would change without changing it."`
+	Output string `help:"Output format: text or json." short:"o" enum:"text,json" default:"text"`
 }
 
-// write puts v over a version and says what changed. On a conflict it shows
-// how the stored object differs from the one that the change began with.
+// write replaces the content of the object before by v and prints what changed. With a dry run, or
+// if nothing changes, it only prints. On a conflict it prints how the stored object differs from
+// before.
 func write[T spec](ctx context.Context, s streams, c changeFlags, before port.Object, v T) error {
 	after, err := json.Marshal(v)
 	if err != nil {
@@ -189,7 +193,7 @@
 	return say(s, c, v, "accepted", stored, changes)
 }
 
-// changeResult is what a writing command prints in JSON.
+// changeResult is the JSON output of a command that writes an object.
 type changeResult struct {
 	Kind    string   `json:"kind"`
 	Name    string   `json:"name"`
@@ -198,6 +202,7 @@
 	Changes []string `json:"changes"`
 }
 
+// say prints the result of writing an object, with a line for each changed field.
 func say(s streams, c changeFlags, v spec, result string, o port.Object, changes []string) error {
 	if c.Output == "json" {
 		return writeJSON(s, changeResult{v.Kind(), v.Key(), result, o.Version, changes})
@@ -228,7 +233,7 @@
 	changeFlags
 	Name      string   `arg:"" help:"Name of the object."`
 	Set       []string `help:"Field and value, such as weight=2 or limits.queue=50." sep:"none" required:""`
-	IfVersion uint64   `help:"Change it only if this is its version."`
+	IfVersion uint64   `help:"Change the object only if it has this version."`
 }
 
 // Run changes fields of an object.
@@ -251,6 +256,7 @@
 	return write(ctx, s, c.changeFlags, o, v)
 }
 
+// checkVersion returns a conflict if o does not have the wanted version; 0 accepts any.
 func checkVersion(o port.Object, want uint64) error {
 	if want == 0 || o.Version == want {
 		return nil
@@ -261,11 +267,11 @@
 
 type applyCommand[T spec] struct {
 	changeFlags
-	File      string `help:"YAML file, one document an object." short:"f" required:"" type:"existingfile"`
-	IfVersion uint64 `help:"Change an object only if this is its version."`
+	File      string `help:"YAML file with one document per object." short:"f" required:"" type:"existingfile"`
+	IfVersion uint64 `help:"Change an object only if it has this version."`
 }
 
-// Run applies the objects of a file, in order.
+// Run creates or updates the objects of a file in order, and stops at the first that fails.
 func (c *applyCommand[T]) Run(ctx context.Context, s streams) error {
 	list, err := settings.ReadFileAll[T](c.File)
 	if err != nil {
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -17,34 +17,35 @@
 
 // quarantineCommand is "stepcroft quarantine".
 type quarantineCommand struct {
-	List    listSuspects   `cmd:"" help:"List the requests under which targets ended, those held back first."`
-	Show    showSuspect    `cmd:"" help:"Show one of them."`
-	Release releaseSuspect `cmd:"" help:"Let one go at all routers: targets have to end under it anew."`
-	Hold    holdSuspect    `cmd:"" help:"Hold one back at all routers, until it is released or has not come for an hour."`
+	List    listSuspects   `cmd:"" help:"List the requests that are suspected of crashing targets, those held back first."`
+	Show    showSuspect    `cmd:"" help:"Show a suspected request."`
+	Release releaseSuspect `cmd:"" help:"Release a request at all routers; earlier crashes no longer count against it."`
+	Hold    holdSuspect    `cmd:"" help:"Hold a request back at all routers, until it is released or has not been sent for an hour."`
 }
 
-// asked is a router that is asked.
+// asked holds the flags for the router to call. Any router will do, since routers share the
+// quarantine.
 type asked struct {
-	Router  string        `help:"Any router's metrics address." required:""`
-	Timeout time.Duration `help:"How long to wait for it." default:"3s"`
+	Router  string        `help:"Admin or metrics address of any router." required:""`
+	Timeout time.Duration `help:"How long to wait for the router." default:"3s"`
 }
 
-// call sends a call to the router and returns its answer.
+// call sends a request to the router's endpoint for suspected requests and returns the response.
 func (a asked) call(ctx context.Context, method string, values url.Values) ([]byte, error) {
 	return askRouter(ctx, a.Timeout, method, a.Router, "/suspects?"+values.Encode())
 }
 
-// suspects returns what the router suspects.
+// suspects returns the requests that the router suspects.
 func (a asked) suspects(ctx context.Context) ([]gateway.Suspect, error) {
 	body, err := a.call(ctx, http.MethodGet, nil)
 	if err != nil {
 		return nil, err
 	}
 	var list []gateway.Suspect
-	return list, errors.Wrap(json.Unmarshal(body, &list), "read answer")
+	return list, errors.Wrap(json.Unmarshal(body, &list), "parse response")
 }
 
-// act asks the router to do something with a request.
+// act makes the routers release or hold a request. It checks the content first.
 func (a asked) act(ctx context.Context, do, content, organisation string) error {
 	if _, err := quarantine.ParseKey(content); err != nil {
 		return errors.Wrap(errUsage, err.Error())
@@ -55,11 +56,11 @@
 
 type listSuspects struct {
 	asked
-	All    bool   `help:"Also those that one target ended under, and those that were cleared."`
-	Output string `help:"text or json." short:"o" enum:"text,json" default:"text"`
+	All    bool   `help:"Also list requests that crashed a single target, and requests that were cleared."`
+	Output string `help:"Output format: text or json." short:"o" enum:"text,json" default:"text"`
 }
 
-// Run lists suspected requests.
+// Run lists suspected requests, grouped by state.
 func (c *listSuspects) Run(ctx context.Context, s streams) error {
 	list, err := c.suspects(ctx)
 	if err != nil {
@@ -86,7 +87,7 @@
 
 type showSuspect struct {
 	asked
-	Content string `arg:"" help:"The request's content, as lines and the list have it."`
+	Content string `arg:"" help:"The request's content hash, as in log lines and in the list."`
 }
 
 // Run shows one suspected request as JSON.
@@ -107,18 +108,18 @@
 
 type releaseSuspect struct {
 	asked
-	Content string `arg:"" help:"The request's content."`
+	Content string `arg:"" help:"The request's content hash."`
 }
 
-// Run lets a request go.
+// Run releases a request.
 func (c *releaseSuspect) Run(ctx context.Context) error {
 	return c.act(ctx, "release", c.Content, "")
 }
 
 type holdSuspect struct {
 	asked
-	Content      string `arg:"" help:"The request's content."`
-	Organisation string `help:"Whose it is."`
+	Content      string `arg:"" help:"The request's content hash."`
+	Organisation string `help:"Organisation that sends the request."`
 }
 
 // Run holds a request back.
--- a/internal/cli/quarantine_test.go
+++ b/internal/cli/quarantine_test.go
@@ -15,8 +15,8 @@
 var _ = Describe("quarantine", func() {
 	held, once := strings.Repeat("ab", 16), strings.Repeat("cd", 16)
 
-	// router is a router that suspects two requests; it returns its address and keeps what
-	// it is asked to do.
+	// router starts a fake router that suspects two requests, and returns its address. It appends
+	// the operations that it is asked for to done.
 	router := func(done *[]string) string {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodPost {
@@ -30,7 +30,7 @@
 		return server.Listener.Addr().String()
 	}
 
-	It("lists what two targets or more ended under, and all if asked to", func() {
+	It("lists requests that crashed at least two targets, and all with --all", func() {
 		address := router(nil)
 		code, out, _ := run("quarantine", "list", "--router", address)
 		Expect(code).To(Equal(cli.ExitOK))
@@ -39,7 +39,7 @@
 		Expect(out).To(And(ContainSubstring(held), ContainSubstring(once)))
 	})
 
-	It("shows one, with the targets that ended", func() {
+	It("shows a request with the targets that it crashed", func() {
 		address := router(nil)
 		code, out, _ := run("quarantine", "show", held, "--router", address)
 		Expect(code).To(Equal(cli.ExitOK))
@@ -49,7 +49,7 @@
 		Expect(errOut).To(ContainSubstring("suspects no request"))
 	})
 
-	It("releases and holds", func() {
+	It("releases and holds requests", func() {
 		var done []string
 		address := router(&done)
 		code, _, _ := run("quarantine", "release", held, "--router", address)
--- a/internal/cli/route.go
+++ b/internal/cli/route.go
@@ -17,24 +17,24 @@
 	"github.com/stepcroft/stepcroft/internal/settings"
 )
 
-// defaultDrain bounds a planned stop where the settings do not.
+// defaultDrain bounds how long a planned stop may take if the settings give no limit.
 const defaultDrain = 2 * time.Minute
 
 // routeCommand is "stepcroft route".
 type routeCommand struct {
 	Settings string `help:"Settings file." required:"" type:"path"`
-	Check    bool   `help:"Check the settings and exit."`
+	Check    bool   `help:"Validate the settings and exit."`
 }
 
-// Run runs a router until SIGTERM, then makes a planned stop; a second
-// SIGTERM ends it at once.
+// Run runs a router until SIGINT or SIGTERM, then drains and stops it. A second signal ends the
+// drain at once.
 func (c *routeCommand) Run(ctx context.Context, s streams) error {
 	set, err := settings.ReadFile[settings.Router](c.Settings)
 	if err != nil {
 		return err
 	}
 	if c.Check {
-		fmt.Fprintf(s.out, "%s: settings of router %s are right\n", c.Settings, set.ID)
+		fmt.Fprintf(s.out, "%s: settings of router %s are valid\n", c.Settings, set.ID)
 		return nil
 	}
 	log := newLogger(s, set.Log).WithValues("router", set.ID)
@@ -54,6 +54,7 @@
 	return drain(r, log, cmp.Or(time.Duration(set.DrainTimeout), defaultDrain))
 }
 
+// drain lets the router finish its requests, for at most limit or until another signal.
 func drain(r *router.Router, log logr.Logger, limit time.Duration) error {
 	log.Info("planned stop begins", "limit", limit.String())
 	second, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -67,6 +68,7 @@
 	return nil
 }
 
+// newLogger returns a logger that writes to the standard error in the configured format.
 func newLogger(s streams, l settings.Log) logr.Logger {
 	options := &slog.HandlerOptions{Level: slog.Level(-l.Level)}
 	if l.Format == "json" {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -9,8 +9,8 @@
 // serveCommand is "stepcroft serve".
 type serveCommand struct{}
 
-// Run runs a router on the users' platform until SIGTERM, then makes a
-// planned stop.
+// Run runs a router on the platform that package platform adapts to, until SIGINT or SIGTERM, then
+// drains and stops it.
 func (c *serveCommand) Run(ctx context.Context, s streams) error {
 	return platform.Run(ctx, s.out)
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -12,17 +12,17 @@
 
 // standinCommand is "stepcroft standin".
 type standinCommand struct {
-	Platform standinPlatform `cmd:"" help:"Run a stand-in of the platform's object API."`
-	Engine   standinEngine   `cmd:"" help:"Run a stand-in of a model engine."`
-	Service  standinService  `cmd:"" help:"Run a stand-in of a plain service."`
+	Platform standinPlatform `cmd:"" help:"Run a stand-in for the platform's object API."`
+	Engine   standinEngine   `cmd:"" help:"Run a stand-in for a model engine."`
+	Service  standinService  `cmd:"" help:"Run a stand-in for a plain service."`
 }
 
 type standinPlatform struct {
-	Listen string `help:"Address, IP number and port." default:"127.0.0.1:7000"`
-	Boxes  string `help:"YAML file with the boxes to list, one document each." type:"existingfile"`
+	Listen string `help:"Listen address, as IP address and port." default:"127.0.0.1:7000"`
+	Boxes  string `help:"YAML file with the boxes to store, one document per box." type:"existingfile"`
 }
 
-// Run runs it until it is told to stop.
+// Run runs the stand-in until SIGINT or SIGTERM.
 func (c *standinPlatform) Run(ctx context.Context, s streams) error {
 	p, err := standin.NewPlatform(c.Listen)
 	if err != nil {
@@ -37,6 +37,7 @@
 	return serve(ctx, s, p.Address())
 }
 
+// seedBoxes stores the boxes of a file on the platform.
 func seedBoxes(p *standin.Platform, file string) error {
 	boxes, err := settings.ReadFileAll[config.Box](file)
 	if err != nil {
@@ -50,6 +51,7 @@
 	return nil
 }
 
+// serve prints the listen address and waits for a signal to stop.
 func serve(ctx context.Context, s streams, address string) error {
 	fmt.Fprintln(s.out, "listening on", address)
 	<-ctx.Done()
@@ -57,13 +59,13 @@
 }
 
 type standinEngine struct {
-	Listen      string        `help:"Address, IP number and port." default:"127.0.0.1:7100"`
-	Slots       int           `help:"Requests that run at a time." default:"8"`
+	Listen      string        `help:"Listen address, as IP address and port." default:"127.0.0.1:7100"`
+	Slots       int           `help:"Number of requests that run at the same time." default:"8"`
 	TokenTime   time.Duration `help:"Time between two tokens." default:"15ms"`
-	PrefillRate float64       `help:"Prompt tokens processed a second." default:"20000"`
+	PrefillRate float64       `help:"Prompt tokens processed per second." default:"20000"`
 }
 
-// Run runs it until it is told to stop.
+// Run runs the stand-in until SIGINT or SIGTERM.
 func (c *standinEngine) Run(ctx context.Context, s streams) error {
 	e, err := standin.NewEngine(standin.EngineOptions{
 		Address: c.Listen, Slots: c.Slots, TokenTime: c.TokenTime, PrefillRate: c.PrefillRate,
@@ -76,10 +78,10 @@
 }
 
 type standinService struct {
-	Listen string `help:"Address, IP number and port." default:"127.0.0.1:7200"`
+	Listen string `help:"Listen address, as IP address and port." default:"127.0.0.1:7200"`
 }
 
-// Run runs it until it is told to stop.
+// Run runs the stand-in until SIGINT or SIGTERM.
 func (c *standinService) Run(ctx context.Context, s streams) error {
 	v, err := standin.NewService(c.Listen, nil)
 	if err != nil {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -15,11 +15,11 @@
 // statusCommand is "stepcroft status".
 type statusCommand struct {
 	Admin   []string      `help:"Routers' admin addresses, comma-separated." required:""`
-	Output  string        `help:"text or json." short:"o" enum:"text,json" default:"text"`
+	Output  string        `help:"Output format: text or json." short:"o" enum:"text,json" default:"text"`
 	Timeout time.Duration `help:"How long to wait for each router." default:"3s"`
 }
 
-// Run prints each router's metrics.
+// Run prints each router's metrics. It goes on with the next router if one does not answer.
 func (c *statusCommand) Run(ctx context.Context, s streams) error {
 	var failed error
 	for _, address := range c.Admin {
@@ -41,30 +41,32 @@
 	return failed
 }
 
+// fetch returns a router's metrics as JSON.
 func fetch(ctx context.Context, address string, timeout time.Duration) ([]byte, error) {
 	body, err := askRouter(ctx, timeout, http.MethodGet, address, "/debug/vars")
 	if err == nil && !json.Valid(body) {
-		err = errors.New("answer is no JSON")
+		err = errors.New("response is not JSON")
 	}
 	return body, err
 }
 
-// askRouter sends a call without a body to a router and returns its answer.
+// askRouter sends a request without a body to a router's admin or metrics address and returns the
+// response body.
 func askRouter(ctx context.Context, timeout time.Duration, method, address, path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "ask router")
+		return nil, errors.Wrap(err, "call router")
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "ask router")
+		return nil, errors.Wrap(err, "call router")
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		return nil, errors.Wrap(err, "read answer")
+		return nil, errors.Wrap(err, "read response")
 	}
 	if res.StatusCode != http.StatusOK {
 		return nil, errors.Errorf("router at %s: %s", address, strings.TrimSpace(string(body)))
