--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -35,9 +35,9 @@
 	ExitPromise
 )
 
-// errPromise means that a load run lost requests, ran them twice, answered them wrongly or
+// errGuaranteeBroken means that a load run lost requests, ran them twice, answered them wrongly or
 // violated an invariant.
-var errPromise = errors.New("a guarantee to callers was broken")
+var errGuaranteeBroken = errors.New("a guarantee to callers was broken")
 
 // commands defines the commands of the program. Kong derives names and flags from it.
 type commands struct {
@@ -109,7 +109,7 @@
 		return ExitConflict
 	case errors.Is(err, port.ErrUnavailable):
 		return ExitUnavailable
-	case errors.Is(err, errPromise):
+	case errors.Is(err, errGuaranteeBroken):
 		return ExitPromise
 	}
 	return ExitFailed
--- a/internal/cli/edit.go
+++ b/internal/cli/edit.go
@@ -13,9 +13,9 @@
 	"github.com/stepcroft/stepcroft/internal/settings"
 )
 
-// edited decodes a YAML text as a T after changing fields in it. Each entry of set is the path of
-// a field and its new value in YAML, such as limits.queue=50.
-func edited[T any](text []byte, set []string) (T, error) {
+// decodeWithFields decodes a YAML text as a T after changing fields in it. Each entry of set is the
+// path of a field and its new value in YAML, such as limits.queue=50.
+func decodeWithFields[T any](text []byte, set []string) (T, error) {
 	var zero T
 	fields := map[string]any{}
 	if err := yaml.Unmarshal(text, &fields); err != nil {
@@ -53,50 +53,50 @@
 	setField(next, path[1:], value)
 }
 
-// flatten returns the fields of a JSON object as sorted lines of path=value.
-func flatten(body []byte) []string {
+// fieldLines returns the fields of a JSON object as sorted lines of path=value.
+func fieldLines(body []byte) []string {
 	var lines []string
-	for path, value := range leaves(body) {
+	for path, value := range fieldValues(body) {
 		lines = append(lines, path+"="+value)
 	}
 	slices.Sort(lines)
 	return lines
 }
 
-// difference returns a line for each field that differs between two JSON objects.
-func difference(before, after []byte) []string {
-	a, b := leaves(before), leaves(after)
+// changedFields returns a line for each field that differs between two JSON objects.
+func changedFields(before, after []byte) []string {
+	a, b := fieldValues(before), fieldValues(after)
 	paths := maps.Clone(a)
 	maps.Copy(paths, b)
 	var lines []string
 	for _, path := range slices.Sorted(maps.Keys(paths)) {
 		if a[path] != b[path] {
-			lines = append(lines, fmt.Sprintf("%s: %s -> %s", path, orNone(a, path), orNone(b, path)))
+			lines = append(lines, fmt.Sprintf("%s: %s -> %s", path, valueOrNotSet(a, path), valueOrNotSet(b, path)))
 		}
 	}
 	return lines
 }
 
-func orNone(m map[string]string, path string) string {
+func valueOrNotSet(m map[string]string, path string) string {
 	if v, ok := m[path]; ok {
 		return v
 	}
 	return "(not set)"
 }
 
-// leaves maps the path of each field of a JSON object that is not itself an object to its value in
-// JSON. Text that is not JSON has no fields.
-func leaves(body []byte) map[string]string {
+// fieldValues maps the paths of a JSON object's fields, those of nested objects included, to their
+// values in JSON. Text that is not JSON has no fields.
+func fieldValues(body []byte) map[string]string {
 	out := map[string]string{}
 	var v any
 	if json.Unmarshal(body, &v) == nil {
-		collect(out, "", v)
+		collectFields(out, "", v)
 	}
 	return out
 }
 
-// collect adds the fields of v, whose own path is path, to out.
-func collect(out map[string]string, path string, v any) {
+// collectFields adds v to out under its path or, if v is an object, the fields in it.
+func collectFields(out map[string]string, path string, v any) {
 	fields, ok := v.(map[string]any)
 	if !ok {
 		text, err := json.Marshal(v)
@@ -106,6 +106,6 @@
 		return
 	}
 	for name, value := range fields {
-		collect(out, strings.TrimPrefix(path+"."+name, "."), value)
+		collectFields(out, strings.TrimPrefix(path+"."+name, "."), value)
 	}
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -19,25 +19,25 @@
 }
 
 const (
-	// progressEvery is how many bytes are read between two lines of progress.
-	progressEvery = 64 << 20
-	// badShown bounds the number of malformed lines that are reported one by one.
-	badShown = 10
+	// progressIntervalBytes is how many bytes are read between two lines of progress.
+	progressIntervalBytes = 64 << 20
+	// maxBadLinesShown bounds the number of malformed lines that are reported one by one.
+	maxBadLinesShown = 10
 )
 
-// progress is a reader that writes to out how much was read.
-type progress struct {
+// progressReader is a reader that writes to out how much was read.
+type progressReader struct {
 	io.Reader
-	out         io.Writer
-	read, shown int64
+	out                  io.Writer
+	bytesRead, lastShown int64
 }
 
-func (p *progress) Read(b []byte) (int, error) {
+func (p *progressReader) Read(b []byte) (int, error) {
 	n, err := p.Reader.Read(b)
-	p.read += int64(n)
-	if p.read-p.shown >= progressEvery {
-		p.shown = p.read
-		fmt.Fprintf(p.out, "%d MB read\n", p.read>>20)
+	p.bytesRead += int64(n)
+	if p.bytesRead-p.lastShown >= progressIntervalBytes {
+		p.lastShown = p.bytesRead
+		fmt.Fprintf(p.out, "%d MB read\n", p.bytesRead>>20)
 	}
 	return n, err
 }
@@ -47,11 +47,11 @@
 	story := explain.New(c.ID)
 	bad := 0
 	failed := c.read(s, story.Add, func(b explain.BadLine) {
-		if bad++; bad <= badShown {
+		if bad++; bad <= maxBadLinesShown {
 			fmt.Fprintf(s.err, "%s, line %d: %v\n", b.File, b.Number, b.Err)
 		}
 	}, false)
-	if bad > badShown {
+	if bad > maxBadLinesShown {
 		fmt.Fprintf(s.err, "%d lines could not be parsed\n", bad)
 	}
 	story.Sort()
@@ -92,12 +92,12 @@
 
 func readFile(s streams, name string, f func(explain.Line), bad func(explain.BadLine)) error {
 	if name == "-" {
-		return explain.Read(&progress{Reader: os.Stdin, out: s.err}, "standard input", f, bad)
+		return explain.Read(&progressReader{Reader: os.Stdin, out: s.err}, "standard input", f, bad)
 	}
 	file, err := os.Open(name)
 	if err != nil {
 		return errors.Wrap(err, "open log")
 	}
 	defer file.Close()
-	return explain.Read(&progress{Reader: file, out: s.err}, name, f, bad)
+	return explain.Read(&progressReader{Reader: file, out: s.err}, name, f, bad)
 }
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -61,14 +61,14 @@
 	if err := result.WriteText(out); err != nil {
 		return err
 	}
-	return promise(result)
+	return checkGuarantees(result)
 }
 
-// promise returns errPromise if a run broke a guarantee to callers.
-func promise(result report.Comparison) error {
+// checkGuarantees returns errGuaranteeBroken if a run broke a guarantee to callers.
+func checkGuarantees(result report.Comparison) error {
 	for _, p := range result.Policies {
 		if p.Lost+p.Doubled+p.Wrong+p.NotRunButRan > 0 || p.Violations > 0 {
-			return errPromise
+			return errGuaranteeBroken
 		}
 	}
 	return nil
@@ -126,7 +126,7 @@
 		if err := encoder.Encode(result); err != nil {
 			return err
 		}
-		return promise(result)
+		return checkGuarantees(result)
 	}
 	return printReport(s.out, result)
 }
--- a/internal/cli/objects.go
+++ b/internal/cli/objects.go
@@ -65,18 +65,20 @@
 	Platform string `help:"Address of the platform's object API." env:"STEPCROFT_PLATFORM" default:"127.0.0.1:7000"`
 }
 
-// store reads and writes the objects of one kind on the platform.
-type store[T spec] struct{ client *platform.Client }
+// objectStore reads and writes the objects of one kind on the platform.
+type objectStore[T spec] struct{ client *platform.Client }
 
-func open[T spec](f platformFlag) store[T] { return store[T]{platform.New(f.Platform)} }
+func openStore[T spec](f platformFlag) objectStore[T] {
+	return objectStore[T]{platform.New(f.Platform)}
+}
 
-func (store[T]) kind() string {
+func (objectStore[T]) kind() string {
 	var zero T
 	return zero.Kind()
 }
 
 // object returns an object as stored and its decoded content.
-func (s store[T]) object(ctx context.Context, name string) (port.Object, T, error) {
+func (s objectStore[T]) object(ctx context.Context, name string) (port.Object, T, error) {
 	var v T
 	o, err := s.client.Object(ctx, s.kind(), name)
 	if err != nil {
@@ -87,7 +89,7 @@
 
 // put writes v if the object still has a version, 0 if it must not exist, and returns the object as
 // stored. The operation's ID lets the client recognise its own write if the answer was lost.
-func (s store[T]) put(ctx context.Context, v T, version uint64) (port.Object, error) {
+func (s objectStore[T]) put(ctx context.Context, v T, version uint64) (port.Object, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return port.Object{}, errors.Wrap(err, "write object")
@@ -105,7 +107,7 @@
 
 // Run lists the objects of the kind.
 func (c *listCommand[T]) Run(ctx context.Context, s streams) error {
-	st := open[T](c.platformFlag)
+	st := openStore[T](c.platformFlag)
 	changes, err := st.client.Changes(ctx, 0, 0)
 	if err != nil {
 		return err
@@ -122,7 +124,7 @@
 	t := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "name\tversion\tcontent")
 	for _, o := range objects {
-		fmt.Fprintf(t, "%s\t%d\t%s\n", o.Name, o.Version, strings.Join(flatten(o.Spec), " "))
+		fmt.Fprintf(t, "%s\t%d\t%s\n", o.Name, o.Version, strings.Join(fieldLines(o.Spec), " "))
 	}
 	return t.Flush()
 }
@@ -142,7 +144,7 @@
 
 // Run shows one object.
 func (c *showCommand[T]) Run(ctx context.Context, s streams) error {
-	o, v, err := open[T](c.platformFlag).object(ctx, c.Name)
+	o, v, err := openStore[T](c.platformFlag).object(ctx, c.Name)
 	if err != nil {
 		return err
 	}
@@ -165,24 +167,24 @@
 	Output string `help:"Output format: text or json." short:"o" enum:"text,json" default:"text"`
 }
 
-// write replaces the content of the object before by v and prints what changed. With a dry run, or
-// if nothing changes, it only prints. On a conflict it prints how the stored object differs from
+// writeObject replaces the content of the object before by v and prints what changed. In a dry run,
+// or if nothing changes, it only prints. On a conflict it prints how the stored object differs from
 // before.
-func write[T spec](ctx context.Context, s streams, c changeFlags, before port.Object, v T) error {
+func writeObject[T spec](ctx context.Context, s streams, c changeFlags, before port.Object, v T) error {
 	after, err := json.Marshal(v)
 	if err != nil {
 		return errors.Wrap(err, "write object")
 	}
-	changes := difference(before.Spec, after)
+	changes := changedFields(before.Spec, after)
 	if before.Version > 0 && len(changes) == 0 {
-		return say(s, c, v, "unchanged", before, nil)
+		return printResult(s, c, v, "unchanged", before, nil)
 	}
 	if c.DryRun {
-		return say(s, c, v, "would change", before, changes)
+		return printResult(s, c, v, "would change", before, changes)
 	}
-	stored, err := open[T](c.platformFlag).put(ctx, v, before.Version)
+	stored, err := openStore[T](c.platformFlag).put(ctx, v, before.Version)
 	if errors.Is(err, port.ErrConflict) {
-		for _, line := range difference(before.Spec, stored.Spec) {
+		for _, line := range changedFields(before.Spec, stored.Spec) {
 			fmt.Fprintf(s.err, "changed meanwhile: %s\n", line)
 		}
 		return err
@@ -190,7 +192,7 @@
 	if err != nil {
 		return errors.Wrap(err, "not accepted")
 	}
-	return say(s, c, v, "accepted", stored, changes)
+	return printResult(s, c, v, "accepted", stored, changes)
 }
 
 // changeResult is the JSON output of a command that writes an object.
@@ -202,8 +204,8 @@
 	Changes []string `json:"changes"`
 }
 
-// say prints the result of writing an object, with a line for each changed field.
-func say(s streams, c changeFlags, v spec, result string, o port.Object, changes []string) error {
+// printResult prints the result of writing an object, with a line for each changed field.
+func printResult(s streams, c changeFlags, v spec, result string, o port.Object, changes []string) error {
 	if c.Output == "json" {
 		return writeJSON(s, changeResult{v.Kind(), v.Key(), result, o.Version, changes})
 	}
@@ -222,11 +224,11 @@
 
 // Run creates an object.
 func (c *createCommand[T]) Run(ctx context.Context, s streams) error {
-	v, err := edited[T]([]byte("name: "+c.Name+"\n"), c.Set)
+	v, err := decodeWithFields[T]([]byte("name: "+c.Name+"\n"), c.Set)
 	if err != nil {
 		return err
 	}
-	return write(ctx, s, c.changeFlags, port.Object{}, v)
+	return writeObject(ctx, s, c.changeFlags, port.Object{}, v)
 }
 
 type editCommand[T spec] struct {
@@ -238,7 +240,7 @@
 
 // Run changes fields of an object.
 func (c *editCommand[T]) Run(ctx context.Context, s streams) error {
-	o, v, err := open[T](c.platformFlag).object(ctx, c.Name)
+	o, v, err := openStore[T](c.platformFlag).object(ctx, c.Name)
 	if err != nil {
 		return err
 	}
@@ -249,11 +251,11 @@
 	if err != nil {
 		return errors.Wrap(err, "write YAML")
 	}
-	v, err = edited[T](text, c.Set)
+	v, err = decodeWithFields[T](text, c.Set)
 	if err != nil {
 		return err
 	}
-	return write(ctx, s, c.changeFlags, o, v)
+	return writeObject(ctx, s, c.changeFlags, o, v)
 }
 
 // checkVersion returns a conflict if o does not have the wanted version; 0 accepts any.
@@ -262,7 +264,7 @@
 		return nil
 	}
 	return errors.Wrapf(port.ErrConflict, "%s %q has version %d, not %d: now %s",
-		o.Kind, o.Name, o.Version, want, strings.Join(flatten(o.Spec), " "))
+		o.Kind, o.Name, o.Version, want, strings.Join(fieldLines(o.Spec), " "))
 }
 
 type applyCommand[T spec] struct {
@@ -277,7 +279,7 @@
 	if err != nil {
 		return err
 	}
-	st := open[T](c.platformFlag)
+	st := openStore[T](c.platformFlag)
 	for _, v := range list {
 		o, _, err := st.object(ctx, v.Key())
 		if err != nil && !errors.Is(err, port.ErrNotFound) {
@@ -286,7 +288,7 @@
 		if err := checkVersion(o, c.IfVersion); err != nil {
 			return err
 		}
-		if err := write(ctx, s, c.changeFlags, o, v); err != nil {
+		if err := writeObject(ctx, s, c.changeFlags, o, v); err != nil {
 			return err
 		}
 	}
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -23,21 +23,21 @@
 	Hold    holdSuspect    `cmd:"" help:"Hold a request back at all routers, until it is released or has not been sent for an hour."`
 }
 
-// asked holds the flags for the router to call. Any router will do, since routers share the
+// routerFlags holds the flags for the router to call. Any router will do, since routers share the
 // quarantine.
-type asked struct {
+type routerFlags struct {
 	Router  string        `help:"Admin or metrics address of any router." required:""`
 	Timeout time.Duration `help:"How long to wait for the router." default:"3s"`
 }
 
-// call sends a request to the router's endpoint for suspected requests and returns the response.
-func (a asked) call(ctx context.Context, method string, values url.Values) ([]byte, error) {
-	return askRouter(ctx, a.Timeout, method, a.Router, "/suspects?"+values.Encode())
+// callSuspects calls the router's endpoint for suspected requests and returns the response body.
+func (a routerFlags) callSuspects(ctx context.Context, method string, values url.Values) ([]byte, error) {
+	return callRouter(ctx, a.Timeout, method, a.Router, "/suspects?"+values.Encode())
 }
 
 // suspects returns the requests that the router suspects.
-func (a asked) suspects(ctx context.Context) ([]gateway.Suspect, error) {
-	body, err := a.call(ctx, http.MethodGet, nil)
+func (a routerFlags) suspects(ctx context.Context) ([]gateway.Suspect, error) {
+	body, err := a.callSuspects(ctx, http.MethodGet, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -45,17 +45,17 @@
 	return list, errors.Wrap(json.Unmarshal(body, &list), "parse response")
 }
 
-// act makes the routers release or hold a request. It checks the content first.
-func (a asked) act(ctx context.Context, do, content, organisation string) error {
+// postAction makes the routers release or hold a request. It checks the content first.
+func (a routerFlags) postAction(ctx context.Context, do, content, organisation string) error {
 	if _, err := quarantine.ParseKey(content); err != nil {
 		return errors.Wrap(errUsage, err.Error())
 	}
-	_, err := a.call(ctx, http.MethodPost, url.Values{"do": {do}, "content": {content}, "organisation": {organisation}})
+	_, err := a.callSuspects(ctx, http.MethodPost, url.Values{"do": {do}, "content": {content}, "organisation": {organisation}})
 	return err
 }
 
 type listSuspects struct {
-	asked
+	routerFlags
 	All    bool   `help:"Also list requests that crashed a single target, and requests that were cleared."`
 	Output string `help:"Output format: text or json." short:"o" enum:"text,json" default:"text"`
 }
@@ -86,7 +86,7 @@
 }
 
 type showSuspect struct {
-	asked
+	routerFlags
 	Content string `arg:"" help:"The request's content hash, as in log lines and in the list."`
 }
 
@@ -107,22 +107,22 @@
 }
 
 type releaseSuspect struct {
-	asked
+	routerFlags
 	Content string `arg:"" help:"The request's content hash."`
 }
 
 // Run releases a request.
 func (c *releaseSuspect) Run(ctx context.Context) error {
-	return c.act(ctx, "release", c.Content, "")
+	return c.postAction(ctx, "release", c.Content, "")
 }
 
 type holdSuspect struct {
-	asked
+	routerFlags
 	Content      string `arg:"" help:"The request's content hash."`
 	Organisation string `help:"Organisation that sends the request."`
 }
 
 // Run holds a request back.
 func (c *holdSuspect) Run(ctx context.Context) error {
-	return c.act(ctx, "hold", c.Content, c.Organisation)
+	return c.postAction(ctx, "hold", c.Content, c.Organisation)
 }
--- a/internal/cli/route.go
+++ b/internal/cli/route.go
@@ -17,8 +17,8 @@
 	"github.com/stepcroft/stepcroft/internal/settings"
 )
 
-// defaultDrain bounds how long a planned stop may take if the settings give no limit.
-const defaultDrain = 2 * time.Minute
+// defaultDrainTimeout bounds how long a planned stop may take if the settings give no limit.
+const defaultDrainTimeout = 2 * time.Minute
 
 // routeCommand is "stepcroft route".
 type routeCommand struct {
@@ -51,7 +51,7 @@
 	defer r.Stop()
 	log.Info("router runs", "address", r.Address(), "peer", r.Self().Peer, "incarnation", r.Self().Incarnation)
 	<-ctx.Done()
-	return drain(r, log, cmp.Or(time.Duration(set.DrainTimeout), defaultDrain))
+	return drain(r, log, cmp.Or(time.Duration(set.DrainTimeout), defaultDrainTimeout))
 }
 
 // drain lets the router finish its requests, for at most limit or until another signal.
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -34,7 +34,7 @@
 			return err
 		}
 	}
-	return serve(ctx, s, p.Address())
+	return serveUntilDone(ctx, s, p.Address())
 }
 
 // seedBoxes stores the boxes of a file on the platform.
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// serve prints the listen address and waits for a signal to stop.
-func serve(ctx context.Context, s streams, address string) error {
+// serveUntilDone prints the listen address and waits for a signal to stop.
+func serveUntilDone(ctx context.Context, s streams, address string) error {
 	fmt.Fprintln(s.out, "listening on", address)
 	<-ctx.Done()
 	return nil
@@ -74,7 +74,7 @@
 		return err
 	}
 	defer e.Stop()
-	return serve(ctx, s, e.Address())
+	return serveUntilDone(ctx, s, e.Address())
 }
 
 type standinService struct {
@@ -88,5 +88,5 @@
 		return err
 	}
 	defer v.Stop()
-	return serve(ctx, s, v.Address())
+	return serveUntilDone(ctx, s, v.Address())
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -23,7 +23,7 @@
 func (c *statusCommand) Run(ctx context.Context, s streams) error {
 	var failed error
 	for _, address := range c.Admin {
-		body, err := fetch(ctx, address, c.Timeout)
+		body, err := fetchMetrics(ctx, address, c.Timeout)
 		if err != nil {
 			fmt.Fprintf(s.err, "%s: %v\n", address, err)
 			failed = errors.Errorf("router at %s did not answer", address)
@@ -34,25 +34,25 @@
 			continue
 		}
 		fmt.Fprintln(s.out, address)
-		for _, line := range flatten(body) {
+		for _, line := range fieldLines(body) {
 			fmt.Fprintln(s.out, " ", line)
 		}
 	}
 	return failed
 }
 
-// fetch returns a router's metrics as JSON.
-func fetch(ctx context.Context, address string, timeout time.Duration) ([]byte, error) {
-	body, err := askRouter(ctx, timeout, http.MethodGet, address, "/debug/vars")
+// fetchMetrics returns a router's metrics as JSON.
+func fetchMetrics(ctx context.Context, address string, timeout time.Duration) ([]byte, error) {
+	body, err := callRouter(ctx, timeout, http.MethodGet, address, "/debug/vars")
 	if err == nil && !json.Valid(body) {
 		err = errors.New("response is not JSON")
 	}
 	return body, err
 }
 
-// askRouter sends a request without a body to a router's admin or metrics address and returns the
+// callRouter sends a request without a body to a router's admin or metrics address and returns the
 // response body.
-func askRouter(ctx context.Context, timeout time.Duration, method, address, path string) ([]byte, error) {
+func callRouter(ctx context.Context, timeout time.Duration, method, address, path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
