--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -31,8 +31,8 @@
 	// ExitUnavailable means that the platform did not answer. A change that the command
 	// tried to write does not count as accepted.
 	ExitUnavailable
-	// ExitPromise means that a load run broke a guarantee to callers; see errPromise.
-	ExitPromise
+	// ExitGuaranteeBroken means that a load run broke a guarantee to callers; see errGuaranteeBroken.
+	ExitGuaranteeBroken
 )
 
 // errGuaranteeBroken means that a load run lost requests, ran them twice, answered them wrongly or
@@ -110,7 +110,7 @@
 	case errors.Is(err, port.ErrUnavailable):
 		return ExitUnavailable
 	case errors.Is(err, errGuaranteeBroken):
-		return ExitPromise
+		return ExitGuaranteeBroken
 	}
 	return ExitFailed
 }
