--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -30,13 +30,13 @@
 	return code, o.String(), e.String()
 }
 
-// at runs a command against the stand-in for the platform.
-func at(args ...string) (code int, out, errOut string) {
+// runOnPlatform runs a command against the stand-in for the platform.
+func runOnPlatform(args ...string) (code int, out, errOut string) {
 	return run(append(args, "--platform", platform.Address())...)
 }
 
-// file writes a temporary YAML file and returns its name.
-func file(text string) string {
+// tempFile writes a temporary YAML file and returns its name.
+func tempFile(text string) string {
 	name := filepath.Join(GinkgoT().TempDir(), "file.yaml")
 	Expect(os.WriteFile(name, []byte(text), 0o600)).To(Succeed())
 	return name
@@ -46,7 +46,7 @@
 type usageCase struct {
 	args []string
 	code int
-	says string
+	want string
 }
 
 var usageCases = map[string]usageCase{
@@ -75,29 +75,29 @@
 		It("exits with a code and prints a message: "+name, func() {
 			code, out, errOut := run(c.args...)
 			Expect(code).To(Equal(c.code), out+errOut)
-			Expect(out + errOut).To(ContainSubstring(c.says))
+			Expect(out + errOut).To(ContainSubstring(c.want))
 		})
 	}
 
 	It("validates settings and reports every error in them", func() {
-		good := file("id: r1\nzone: a\nlisten: 127.0.0.1:1\npeer_listen: 127.0.0.1:2\nplatform: 127.0.0.1:3\n")
+		good := tempFile("id: r1\nzone: a\nlisten: 127.0.0.1:1\npeer_listen: 127.0.0.1:2\nplatform: 127.0.0.1:3\n")
 		code, out, _ := run("route", "--check", "--settings", good)
 		Expect(code).To(Equal(cli.ExitOK))
 		Expect(out).To(ContainSubstring("are valid"))
-		code, _, errOut := run("route", "--check", "--settings", file("id: r1\nlisten: here\ncolour: red\n"))
+		code, _, errOut := run("route", "--check", "--settings", tempFile("id: r1\nlisten: here\ncolour: red\n"))
 		Expect(code).To(Equal(cli.ExitUsage))
 		Expect(strings.Count(errOut, "file.yaml:")).To(Equal(5), errOut)
 	})
 
 	It("creates, edits, shows and lists objects, and changes nothing in a dry run", func() {
-		code, out, _ := at("org", "create", "water", "--set", "weight=2", "--dry-run")
+		code, out, _ := runOnPlatform("org", "create", "water", "--set", "weight=2", "--dry-run")
 		Expect(code).To(Equal(cli.ExitOK))
 		Expect(out).To(ContainSubstring("would change"))
-		code, _, _ = at("org", "show", "water")
+		code, _, _ = runOnPlatform("org", "show", "water")
 		Expect(code).To(Equal(cli.ExitFailed))
-		code, _, _ = at("org", "create", "water", "--set", "weight=2", "--set", "limits.queue=5")
+		code, _, _ = runOnPlatform("org", "create", "water", "--set", "weight=2", "--set", "limits.queue=5")
 		Expect(code).To(Equal(cli.ExitOK))
-		code, out, _ = at("org", "edit", "water", "--set", "weight=3", "-o", "json")
+		code, out, _ = runOnPlatform("org", "edit", "water", "--set", "weight=3", "-o", "json")
 		Expect(code).To(Equal(cli.ExitOK))
 		var result struct {
 			Version int
@@ -106,54 +106,54 @@
 		Expect(json.Unmarshal([]byte(out), &result)).To(Succeed())
 		Expect(result.Version).To(Equal(2))
 		Expect(result.Changes).To(Equal([]string{"weight: 2 -> 3"}))
-		_, out, _ = at("org", "show", "water")
+		_, out, _ = runOnPlatform("org", "show", "water")
 		Expect(out).To(And(ContainSubstring("weight: 3"), ContainSubstring("queue: 5")))
-		_, out, _ = at("org", "list")
+		_, out, _ = runOnPlatform("org", "list")
 		Expect(out).To(ContainSubstring("limits.queue=5"))
 	})
 
 	It("reports a concurrent change as a conflict and prints the difference", func() {
-		at("org", "create", "water", "--set", "weight=2")
-		code, _, errOut := at("org", "create", "water", "--set", "weight=5")
+		runOnPlatform("org", "create", "water", "--set", "weight=2")
+		code, _, errOut := runOnPlatform("org", "create", "water", "--set", "weight=5")
 		Expect(code).To(Equal(cli.ExitConflict))
 		Expect(errOut).To(ContainSubstring("changed meanwhile: weight: (not set) -> 2"))
-		code, _, _ = at("org", "edit", "water", "--set", "weight=5", "--if-version", "7")
+		code, _, _ = runOnPlatform("org", "edit", "water", "--set", "weight=5", "--if-version", "7")
 		Expect(code).To(Equal(cli.ExitConflict))
 	})
 
 	It("rejects invalid values and names the field", func() {
 		for _, set := range []string{"weight=-1", "weight=much", "colour=red", "limits.queue=-5", "nonsense"} {
-			code, _, errOut := at("org", "create", "water", "--set", set)
+			code, _, errOut := runOnPlatform("org", "create", "water", "--set", set)
 			Expect(code).To(Equal(cli.ExitUsage), set)
 			Expect(errOut).To(ContainSubstring(strings.Split(strings.Split(set, "=")[0], ".")[0]), set)
 		}
-		code, _, errOut := at("policy", "create", "chat", "--set", "policy=luck")
+		code, _, errOut := runOnPlatform("policy", "create", "chat", "--set", "policy=luck")
 		Expect(code).To(Equal(cli.ExitUsage))
 		Expect(errOut).To(ContainSubstring("share"))
 	})
 
 	It("applies the objects of a file in order, and leaves unchanged ones alone", func() {
-		name := file("name: small\nweight: 1\n---\nname: large\nweight: 4\n")
-		code, out, _ := at("template", "apply", "-f", name)
+		name := tempFile("name: small\nweight: 1\n---\nname: large\nweight: 4\n")
+		code, out, _ := runOnPlatform("template", "apply", "-f", name)
 		Expect(code).To(Equal(cli.ExitOK))
 		Expect(strings.Count(out, "accepted")).To(Equal(2))
-		_, out, _ = at("template", "apply", "-f", name)
+		_, out, _ = runOnPlatform("template", "apply", "-f", name)
 		Expect(strings.Count(out, "unchanged")).To(Equal(2))
-		code, _, errOut := at("template", "apply", "-f", file("name: small\n---\nname: large\nweight: 0.001\n"))
+		code, _, errOut := runOnPlatform("template", "apply", "-f", tempFile("name: small\n---\nname: large\nweight: 0.001\n"))
 		Expect(code).To(Equal(cli.ExitUsage))
 		Expect(errOut).To(ContainSubstring(":4: weight"))
 	})
 
 	It("reports a write as accepted if it took effect but its answer was lost", func() {
 		platform.SetFaults(standin.Faults{LoseAnswers: true})
-		code, out, errOut := at("org", "create", "water", "--set", "weight=2")
+		code, out, errOut := runOnPlatform("org", "create", "water", "--set", "weight=2")
 		Expect(code).To(Equal(cli.ExitOK), errOut)
 		Expect(out).To(ContainSubstring("accepted, version 1"))
 	})
 
 	It("does not report a write as accepted in an outage", func() {
 		platform.SetFaults(standin.Faults{Outage: true})
-		code, _, errOut := at("org", "create", "water")
+		code, _, errOut := runOnPlatform("org", "create", "water")
 		Expect(code).To(Equal(cli.ExitUnavailable))
 		Expect(errOut).To(ContainSubstring("not accepted"))
 	})
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -44,9 +44,9 @@
 
 // Run explains what happened to a request.
 func (c *explainCommand) Run(s streams) error {
-	story := explain.New(c.ID)
+	timeline := explain.New(c.ID)
 	bad := 0
-	failed := c.read(s, story.Add, func(b explain.BadLine) {
+	failed := c.read(s, timeline.Add, func(b explain.BadLine) {
 		if bad++; bad <= maxBadLinesShown {
 			fmt.Fprintf(s.err, "%s, line %d: %v\n", b.File, b.Number, b.Err)
 		}
@@ -54,34 +54,33 @@
 	if bad > maxBadLinesShown {
 		fmt.Fprintf(s.err, "%d lines could not be parsed\n", bad)
 	}
-	story.Sort()
+	timeline.Sort()
 	// The first pass reported the lines and files that cannot be read.
-	if err := c.read(s, story.AddNeighbour, func(explain.BadLine) {}, true); failed == nil {
+	if err := c.read(s, timeline.AddNeighbour, func(explain.BadLine) {}, true); failed == nil {
 		failed = err
 	}
 	if c.Output == "json" {
-		if err := json.NewEncoder(s.out).Encode(story.Explain()); err != nil {
+		if err := json.NewEncoder(s.out).Encode(timeline.Explain()); err != nil {
 			return errors.Wrap(err, "write explanation")
 		}
 		return failed
 	}
-	for _, l := range story.Explain().Text() {
+	for _, l := range timeline.Explain().Text() {
 		fmt.Fprintln(s.out, l)
 	}
 	return failed
 }
 
 // read passes the lines of all files to f, and goes on with the next file if one fails. The second
-// pass, with again set, skips standard input, which can be read only once, and does not report
-// errors once more.
-func (c *explainCommand) read(s streams, f func(explain.Line), bad func(explain.BadLine), again bool) error {
+// pass skips standard input, which can be read only once, and does not report errors again.
+func (c *explainCommand) read(s streams, f func(explain.Line), bad func(explain.BadLine), secondPass bool) error {
 	var failed error
 	for _, name := range c.Files {
-		if name == "-" && again {
+		if name == "-" && secondPass {
 			continue
 		}
 		if err := readFile(s, name, f, bad); err != nil {
-			if !again {
+			if !secondPass {
 				fmt.Fprintln(s.err, "stepcroft:", err)
 			}
 			failed = err
--- a/internal/cli/explain_test.go
+++ b/internal/cli/explain_test.go
@@ -11,15 +11,15 @@
 	log := `{"time":"2026-01-01T00:00:10Z","msg":"request","router":"a","id":"r","outcome":"refused","status":503,"reason":"no-target"}` + "\n"
 
 	It("prints what happened to a request and the cause", func() {
-		code, out, _ := run("explain", "--id", "r", file(log))
+		code, out, _ := run("explain", "--id", "r", tempFile(log))
 		Expect(code).To(Equal(cli.ExitOK))
 		Expect(out).To(And(ContainSubstring("status 503, no-target"), ContainSubstring("cause: the service had no target")))
-		_, out, _ = run("explain", "--id", "r", "-o", "json", file(log))
+		_, out, _ = run("explain", "--id", "r", "-o", "json", tempFile(log))
 		Expect(out).To(ContainSubstring(`"cause":"the service had no target"`))
 	})
 
 	It("reports unreadable lines and files and reads the others", func() {
-		code, out, errOut := run("explain", "--id", "r", "/nowhere.log", file("{\n"+log))
+		code, out, errOut := run("explain", "--id", "r", "/nowhere.log", tempFile("{\n"+log))
 		Expect(code).To(Equal(cli.ExitFailed))
 		Expect(out).To(ContainSubstring("no-target"))
 		Expect(errOut).To(And(ContainSubstring("/nowhere.log"), ContainSubstring("line 1:")))
--- a/internal/cli/quarantine_test.go
+++ b/internal/cli/quarantine_test.go
@@ -13,18 +13,18 @@
 )
 
 var _ = Describe("quarantine", func() {
-	held, once := strings.Repeat("ab", 16), strings.Repeat("cd", 16)
+	heldContent, suspectedContent := strings.Repeat("ab", 16), strings.Repeat("cd", 16)
 
 	// router starts a fake router that suspects two requests, and returns its address. It appends
-	// the operations that it is asked for to done.
-	router := func(done *[]string) string {
+	// each POST that it receives to operations.
+	router := func(operations *[]string) string {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodPost {
-				*done = append(*done, r.FormValue("do")+" "+r.FormValue("content")+" "+r.FormValue("organisation"))
+				*operations = append(*operations, r.FormValue("do")+" "+r.FormValue("content")+" "+r.FormValue("organisation"))
 				return
 			}
 			fmt.Fprintf(w, `[{"content":%q,"organisation":"o","state":"suspected","crashes":1,"targets":["a"]},
-				{"content":%q,"organisation":"o","state":"held back","crashes":3,"targets":["a","b","c"]}]`, once, held)
+				{"content":%q,"organisation":"o","state":"held back","crashes":3,"targets":["a","b","c"]}]`, suspectedContent, heldContent)
 		}))
 		DeferCleanup(server.Close)
 		return server.Listener.Addr().String()
@@ -34,14 +34,14 @@
 		address := router(nil)
 		code, out, _ := run("quarantine", "list", "--router", address)
 		Expect(code).To(Equal(cli.ExitOK))
-		Expect(out).To(And(ContainSubstring(held), ContainSubstring("held back"), Not(ContainSubstring(once))))
+		Expect(out).To(And(ContainSubstring(heldContent), ContainSubstring("held back"), Not(ContainSubstring(suspectedContent))))
 		_, out, _ = run("quarantine", "list", "--all", "--router", address, "-o", "json")
-		Expect(out).To(And(ContainSubstring(held), ContainSubstring(once)))
+		Expect(out).To(And(ContainSubstring(heldContent), ContainSubstring(suspectedContent)))
 	})
 
 	It("shows a request with the targets that it crashed", func() {
 		address := router(nil)
-		code, out, _ := run("quarantine", "show", held, "--router", address)
+		code, out, _ := run("quarantine", "show", heldContent, "--router", address)
 		Expect(code).To(Equal(cli.ExitOK))
 		Expect(out).To(ContainSubstring(`"c"`))
 		code, _, errOut := run("quarantine", "show", strings.Repeat("0", 32), "--router", address)
@@ -50,12 +50,12 @@
 	})
 
 	It("releases and holds requests", func() {
-		var done []string
-		address := router(&done)
-		code, _, _ := run("quarantine", "release", held, "--router", address)
+		var operations []string
+		address := router(&operations)
+		code, _, _ := run("quarantine", "release", heldContent, "--router", address)
 		Expect(code).To(Equal(cli.ExitOK))
-		code, _, _ = run("quarantine", "hold", once, "--organisation", "o", "--router", address)
+		code, _, _ = run("quarantine", "hold", suspectedContent, "--organisation", "o", "--router", address)
 		Expect(code).To(Equal(cli.ExitOK))
-		Expect(done).To(Equal([]string{"release " + held + " ", "hold " + once + " o"}))
+		Expect(operations).To(Equal([]string{"release " + heldContent + " ", "hold " + suspectedContent + " o"}))
 	})
 })
