--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -20,7 +20,7 @@
 var _ = Describe("Routers", func() {
 	It("get the configuration and the targets from one another", func() {
 		a := newRig()
-		b := newRig(a.Known().Peer)
+		b := newRig(a.Self().Peer)
 		a.configure(spec(1))
 		a.serve("t", answer)
 		Eventually(b.Ready).Should(BeTrue())
@@ -29,7 +29,7 @@
 
 	It("reject a revoked key although they cannot reach the store", func() {
 		a := newRig()
-		b := newRig(a.Known().Peer)
+		b := newRig(a.Self().Peer)
 		a.configure(spec(1))
 		a.serve("t", answer)
 		Eventually(func() int { return b.post("/many/x").Status }).Should(Equal(http.StatusOK))
@@ -42,13 +42,13 @@
 
 	It("return the addresses of routers that are ready", func() {
 		a := newRig()
-		b := newRig(a.Known().Peer)
+		b := newRig(a.Self().Peer)
 		ctx := context.Background()
 		Expect(a.Addresses(ctx, "z")).To(BeEmpty())
 		a.configure(spec(1))
-		Eventually(func() []string { return b.Addresses(ctx, "z") }).Should(ConsistOf(a.Known().Address, b.Known().Address))
+		Eventually(func() []string { return b.Addresses(ctx, "z") }).Should(ConsistOf(a.Self().Address, b.Self().Address))
 		background(func() { b.Drain(ctx, stopLimit) })
-		Eventually(func() []string { return a.Addresses(ctx, "z") }).Should(ConsistOf(a.Known().Address))
+		Eventually(func() []string { return a.Addresses(ctx, "z") }).Should(ConsistOf(a.Self().Address))
 	})
 
 	It("send no new requests to a target that is leaving", func() {
@@ -95,7 +95,7 @@
 		for range 6 {
 			r := newRig()
 			fleet = append(fleet, r)
-			k := r.Known()
+			k := r.Self()
 			boxes = append(boxes, config.Box{Name: string(k.ID), Zone: k.Zone, Address: k.Address, Peer: k.Peer})
 		}
 		fleet[0].configure(spec(1))
@@ -133,7 +133,7 @@
 		var fakes []*fakeRouter
 		for i := 0; len(fakes) < 3; i++ {
 			other := member.Member{ID: message.RouterID(fmt.Sprint("w", i)), Zone: "z"}
-			if member.TopAcrossZones(1, "store", []member.Member{r.Known(), other})[0].ID == other.ID {
+			if member.TopAcrossZones(1, "store", []member.Member{r.Self(), other})[0].ID == other.ID {
 				f := newFakeRouterIn(other.ID, other.Zone)
 				f.ping(r, false)
 				fakes = append(fakes, f)
@@ -145,7 +145,7 @@
 	It("watch the store if they have no copy of it, even if others rank before them", func() {
 		r := newRig()
 		for _, f := range rankedBefore(r) {
-			Eventually(func() message.RouterID { return f.lastRecord().ID }).Should(Equal(r.Known().ID))
+			Eventually(func() message.RouterID { return f.lastRecord().ID }).Should(Equal(r.Self().ID))
 		}
 		Eventually(func() bool { return r.Watches(context.Background()) }).Should(BeTrue())
 		r.configure(spec(1))
@@ -163,13 +163,13 @@
 		record := fakes[1].self
 		record.State = message.Suspected
 		notice := message.Ping{From: fakes[0].self, Kind: message.PingNotice, Records: []message.RouterRecord{record}}
-		Expect(fakes[0].datagrams.Send(r.Known(), notice)).To(BeTrue())
+		Expect(fakes[0].datagrams.Send(r.Self(), notice)).To(BeTrue())
 		Eventually(watches).Should(BeTrue())
 	})
 
 	It("watch the store as long as they know of no targets", func() {
 		a := newRig()
-		b := newRig(a.Known().Peer)
+		b := newRig(a.Self().Peer)
 		watches := func() bool { return b.Watches(context.Background()) }
 		a.configure(spec(1))
 		Eventually(b.Ready).Should(BeTrue())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -233,9 +233,9 @@
 // Ready reports whether the router can serve callers.
 func (g *Gateway) Ready() bool { return g.server.Ready() }
 
-// Known returns this router's member record, which is registered in stores through which routers
+// Self returns this router's member record, which is registered in stores through which routers
 // find one another.
-func (g *Gateway) Known() member.Member { return g.self }
+func (g *Gateway) Self() member.Member { return g.self }
 
 func (g *Gateway) sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -183,7 +183,7 @@
 	return reply{Status: res.StatusCode, Header: res.Header, Body: string(body), Closing: res.Close, Err: err}
 }
 
-func (r *rig) post(path string) reply { return do(newRequest(r.Known().Address, path)) }
+func (r *rig) post(path string) reply { return do(newRequest(r.Self().Address, path)) }
 
 // answer is a target's handler that sends a complete response.
 func answer(w http.ResponseWriter, r *http.Request) {
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -43,7 +43,7 @@
 			})
 		}
 		if len(seeds) < 3 {
-			seeds = append(seeds, g.Known().Peer)
+			seeds = append(seeds, g.Self().Peer)
 		}
 	}
 	time.Sleep(5 * time.Second)
--- a/internal/gateway/operators_internal_test.go
+++ b/internal/gateway/operators_internal_test.go
@@ -31,7 +31,7 @@
 func TestOperatorsHoldAndRelease(t *testing.T) {
 	k := quarantine.KeyOf("o", "POST", "/x", []byte("question"))
 	a := newConfigured(t)
-	b := newConfigured(t, a.Known().Peer)
+	b := newConfigured(t, a.Self().Peer)
 	hold := "do=hold&organisation=o&content=" + k.String()
 	for range 2 {
 		if w := callOperators(a, http.MethodPost, hold); w.Code != http.StatusOK {
--- a/internal/gateway/report_test.go
+++ b/internal/gateway/report_test.go
@@ -52,7 +52,7 @@
 func (f *fakeRouter) ping(to *rig, serving bool) {
 	f.self.Version++
 	f.self.Serving = serving
-	sent := f.datagrams.Send(to.Known(), message.Ping{From: f.self, Kind: message.PingRequest})
+	sent := f.datagrams.Send(to.Self(), message.Ping{From: f.self, Kind: message.PingRequest})
 	Expect(sent).To(BeTrue())
 }
 
@@ -156,7 +156,7 @@
 		near, far := fakes("z", 2, r), fakes("y", 20, r)
 		full := message.ZoneStatus{Zone: "y", Status: message.Status{Loads: []message.TargetLoad{{Target: "t", Running: 4}}}}
 		sendFullZone := func() int {
-			far[7].streams.Send(r.Known(), full)
+			far[7].streams.Send(r.Self(), full)
 			return r.post("/many/x").Status
 		}
 		Eventually(sendFullZone).Should(Equal(http.StatusServiceUnavailable))
@@ -206,7 +206,7 @@
 		other.ping(r, true)
 		Eventually(func() bool { return other.lastRecord().Ready }).Should(BeTrue())
 		for _, size := range []string{"50,10", "5000,10"} {
-			q := newRequest(r.Known().Address, "/many/x")
+			q := newRequest(r.Self().Address, "/many/x")
 			q.Header.Set(dialect.PromptSize, size)
 			background(func() { do(q) })
 			Eventually(came).Should(Receive())
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -70,7 +70,7 @@
 		}
 		defer close(release)
 		send := func() received {
-			q := newRequest(r.Known().Address, "/many/x")
+			q := newRequest(r.Self().Address, "/many/x")
 			q.Header.Set(dialect.PromptSize, "6100,10")
 			q.Header.Set(dialect.PromptParts, "shared:6000,own:100")
 			q.Header.Set(dialect.FetchFrom, "192.0.2.1:1")
@@ -100,7 +100,7 @@
 			}
 			answer(w, q)
 		})
-		req := newRequest(r.Known().Address, "/many/a%2Fb//c/../d;e?f=%20&g")
+		req := newRequest(r.Self().Address, "/many/a%2Fb//c/../d;e?f=%20&g")
 		req.Header.Set("X-Other", "kept")
 		req.Header.Set("Connection", "X-Hop")
 		req.Header.Set("X-Hop", "dropped")
@@ -130,7 +130,7 @@
 			seen = q.Header
 			answer(w, q)
 		})
-		req := newRequest(r.Known().Address, "/many/x")
+		req := newRequest(r.Self().Address, "/many/x")
 		for _, name := range dialect.Reserved {
 			req.Header.Set(name, "callers-own")
 		}
@@ -145,7 +145,7 @@
 		"gets an error from the router itself if it is invalid", func(change func(*http.Request), status int) {
 			r.configure(spec(1))
 			r.serve("t", answer)
-			req := newRequest(r.Known().Address, "/many/x")
+			req := newRequest(r.Self().Address, "/many/x")
 			change(req)
 			Expect(do(req).Status).To(Equal(status))
 		},
@@ -163,7 +163,7 @@
 		r.configure(c)
 		r.serve("t", answer)
 		for _, length := range []int64{11, -1} {
-			req := newRequest(r.Known().Address, "/many/x")
+			req := newRequest(r.Self().Address, "/many/x")
 			req.Body = io.NopCloser(strings.NewReader("eleven byte"))
 			req.ContentLength = length
 			Expect(do(req).Status).To(Equal(http.StatusRequestEntityTooLarge))
@@ -248,7 +248,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		ended := make(chan reply, 1)
-		background(func() { ended <- do(newRequest(r.Known().Address, "/many/x").WithContext(ctx)) })
+		background(func() { ended <- do(newRequest(r.Self().Address, "/many/x").WithContext(ctx)) })
 		Eventually(started).Should(Receive())
 		cancel()
 		Eventually(gone).Should(Receive())
@@ -346,7 +346,7 @@
 				<-next
 			}
 		})
-		res, err := (&http.Transport{}).RoundTrip(newRequest(r.Known().Address, "/stream/x"))
+		res, err := (&http.Transport{}).RoundTrip(newRequest(r.Self().Address, "/stream/x"))
 		Expect(err).NotTo(HaveOccurred())
 		defer res.Body.Close()
 		buffer := make([]byte, 100)
--- a/internal/gateway/streams_test.go
+++ b/internal/gateway/streams_test.go
@@ -88,7 +88,7 @@
 			for b.Loop() {
 				var wait sync.WaitGroup
 				for i := range streams {
-					wait.Go(func() { readStream(b, g.Known().Address, i) })
+					wait.Go(func() { readStream(b, g.Self().Address, i) })
 				}
 				wait.Wait()
 			}
