--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -109,7 +109,7 @@
 		watching := func() []int {
 			var list []int
 			for i, r := range fleet {
-				if r.Watches(context.Background()) {
+				if r.ShouldWatchStore(context.Background()) {
 					list = append(list, i)
 				}
 			}
@@ -117,12 +117,12 @@
 		}
 		Eventually(watching, "3s").Should(HaveLen(3))
 		failed := watching()[0]
-		fleet[failed].StoreTrouble()
+		fleet[failed].StoreFailed()
 		Eventually(watching).Should(And(HaveLen(4), ContainElement(failed)))
-		fleet[failed].StoreWorks()
+		fleet[failed].StoreRecovered()
 		Eventually(watching).Should(HaveLen(3))
 		for _, i := range watching() {
-			fleet[i].StoreTrouble()
+			fleet[i].StoreFailed()
 		}
 		Eventually(watching).Should(HaveLen(6))
 	})
@@ -147,10 +147,10 @@
 		for _, f := range rankedBefore(r) {
 			Eventually(func() message.RouterID { return f.lastRecord().ID }).Should(Equal(r.Self().ID))
 		}
-		Eventually(func() bool { return r.Watches(context.Background()) }).Should(BeTrue())
+		Eventually(func() bool { return r.ShouldWatchStore(context.Background()) }).Should(BeTrue())
 		r.configure(spec(1))
 		r.serve("t", answer)
-		Eventually(func() bool { return r.Watches(context.Background()) }).Should(BeFalse())
+		Eventually(func() bool { return r.ShouldWatchStore(context.Background()) }).Should(BeFalse())
 	})
 
 	It("watch the store in place of one that is suspected", func() {
@@ -158,7 +158,7 @@
 		r.configure(spec(1))
 		r.serve("t", answer)
 		fakes := rankedBefore(r)
-		watches := func() bool { return r.Watches(context.Background()) }
+		watches := func() bool { return r.ShouldWatchStore(context.Background()) }
 		Eventually(watches).Should(BeFalse())
 		record := fakes[1].self
 		record.State = message.Suspected
@@ -170,7 +170,7 @@
 	It("watch the store as long as they know of no targets", func() {
 		a := newRig()
 		b := newRig(a.Self().Peer)
-		watches := func() bool { return b.Watches(context.Background()) }
+		watches := func() bool { return b.ShouldWatchStore(context.Background()) }
 		a.configure(spec(1))
 		Eventually(b.Ready).Should(BeTrue())
 		Eventually(watches).Should(BeTrue())
@@ -180,7 +180,7 @@
 
 	It("wait after their start for updates from others before they watch the store", func() {
 		r := newRig()
-		Expect(r.Watches(context.Background())).To(BeFalse())
-		Eventually(func() bool { return r.Watches(context.Background()) }).Should(BeTrue())
+		Expect(r.ShouldWatchStore(context.Background())).To(BeFalse())
+		Eventually(func() bool { return r.ShouldWatchStore(context.Background()) }).Should(BeTrue())
 	})
 })
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -37,7 +37,7 @@
 		for range looks {
 			background.GoContext(func(ctx context.Context) {
 				for ctx.Err() == nil {
-					g.Watches(ctx)
+					g.ShouldWatchStore(ctx)
 					group.SleepUntil(ctx, time.Now().Add(200*time.Millisecond))
 				}
 			})
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -35,8 +35,8 @@
 // contents may call the store.
 func randomSettleDelay() time.Duration { return minSettleDelay + rand.N(maxSettleDelay-minSettleDelay) }
 
-// StoreTrouble records that a call to the store failed.
-func (g *Gateway) StoreTrouble() {
+// StoreFailed records that a call to the store failed.
+func (g *Gateway) StoreFailed() {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
 		g.catalog.MarkUnstable(now)
 		if g.storeFailingSince.IsZero() {
@@ -73,8 +73,8 @@
 	return known
 }
 
-// StoreWorks records that calls to the store succeed.
-func (g *Gateway) StoreWorks() {
+// StoreRecovered records that calls to the store succeed again.
+func (g *Gateway) StoreRecovered() {
 	g.loop.Post(func(_ *balance.State, now time.Time) {
 		if !g.storeFailingSince.IsZero() {
 			g.storeFailingSince = time.Time{}
@@ -83,10 +83,10 @@
 	})
 }
 
-// Watches reports whether this router should watch the store: it ranks among the first of the
-// running routers, or of those that reach the store. A router that knows no other running one
-// ranks first.
-func (g *Gateway) Watches(ctx context.Context) bool {
+// ShouldWatchStore reports whether this router should watch the store: it ranks among the first
+// of the running routers, or of those that reach the store. A router that knows no other running
+// one ranks first.
+func (g *Gateway) ShouldWatchStore(ctx context.Context) bool {
 	watches := true
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
 		wait := maxSettleDelay
@@ -120,9 +120,9 @@
 	return member.NewRankCounter("store", g.self.ID, g.self.Zone)
 }
 
-// OthersWatch reports whether, as far as known, another running router reaches the store, so that
-// the fleet does not depend on this one.
-func (g *Gateway) OthersWatch(ctx context.Context) bool {
+// OthersReachStore reports whether, as far as known, another running router reaches the store, so
+// that the fleet does not depend on this one.
+func (g *Gateway) OthersReachStore(ctx context.Context) bool {
 	watch := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
 		for r := range g.runningRouters(now) {
