--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -41,13 +41,13 @@
 	// sweepInterval is the interval at which old idle connections to targets are closed.
 	sweepInterval = time.Second
 	// defaultRequests and defaultConnections bound the callers' concurrent requests and
-	// connections if Options.Callers does not.
+	// connections if Options.CallerLimits does not.
 	defaultRequests    = 1000
 	defaultConnections = 4000
-	// defaultTargetDrain is how long a leaving target continues to serve if Options.Drain is not
-	// set: the shortest such time of the known installations.
+	// defaultTargetDrain is how long a leaving target continues to serve if Options.TargetDrain
+	// is not set: the shortest such time of the known installations.
 	defaultTargetDrain = 2 * time.Second
-	// defaultEntryTTL is the TTL of targets' entries in the store if Options.Silence is not
+	// defaultEntryTTL is the TTL of targets' entries in the store if Options.EntryTTL is not
 	// set.
 	defaultEntryTTL = 4 * time.Second
 	// copyRequestInterval is the minimum interval between requests to other routers for newer
@@ -70,17 +70,17 @@
 	Incarnation uint64
 	// Capacity is the number of CPU cores that the router may use.
 	Capacity float64
-	// Callers bounds the callers' concurrent requests and connections; 0 means 1,000 requests
+	// CallerLimits bounds the callers' concurrent requests and connections; 0 means 1,000 requests
 	// and 4,000 connections.
-	Callers ingress.Limits
-	Dialect forward.HeaderNames
-	Codec   catalog.Codec
-	Limits  balance.Limits
-	// Drain is how long a leaving target continues to serve; 0 means two seconds.
-	Drain time.Duration
-	// Silence is the TTL after which the store removes the entry of a target that has stopped
+	CallerLimits ingress.Limits
+	Headers      forward.HeaderNames
+	Codec        catalog.Codec
+	Limits       balance.Limits
+	// TargetDrain is how long a leaving target continues to serve; 0 means two seconds.
+	TargetDrain time.Duration
+	// EntryTTL is the TTL after which the store removes the entry of a target that has stopped
 	// renewing it; 0 means four seconds.
-	Silence time.Duration
+	EntryTTL time.Duration
 	// Keeper persists the requests that are held back, so that they survive a restart of all
 	// routers; nil if they are not persisted.
 	Keeper Keeper
@@ -184,7 +184,7 @@
 		return nil, errors.Wrapf(err, "listen for routers on %s", o.PeerListen)
 	}
 	g := &Gateway{
-		Options: o, group: group.New(ctx), catalog: catalog.New(o.Codec, cmp.Or(o.Drain, defaultTargetDrain), cmp.Or(o.Silence, defaultEntryTTL)),
+		Options: o, group: group.New(ctx), catalog: catalog.New(o.Codec, cmp.Or(o.TargetDrain, defaultTargetDrain), cmp.Or(o.EntryTTL, defaultEntryTTL)),
 		lastSums: map[string]time.Time{}, directZones: map[message.RouterID]string{},
 	}
 	now := clock.Now()
@@ -209,10 +209,10 @@
 	g.loop.SetMeter(metrics.ProcessorTime, o.Capacity)
 	g.loop.OnResume(g.resume)
 	g.transport = httptarget.New(g.group)
-	forwarder := forward.New(o.Dialect, g.transport, g.loop, suspects{g}, o.Log, o.Metrics)
-	g.server = ingress.New(o.Dialect, forwarder, g.observer(), ingress.Limits{
-		Requests:    cmp.Or(o.Callers.Requests, defaultRequests),
-		Connections: cmp.Or(o.Callers.Connections, defaultConnections),
+	forwarder := forward.New(o.Headers, g.transport, g.loop, suspects{g}, o.Log, o.Metrics)
+	g.server = ingress.New(o.Headers, forwarder, g.observer(), ingress.Limits{
+		Requests:    cmp.Or(o.CallerLimits.Requests, defaultRequests),
+		Connections: cmp.Or(o.CallerLimits.Connections, defaultConnections),
 	}, o.Log)
 	g.peers = peer.New(g.group.Context(), self, peerListener, g.receive, o.Log)
 	g.datagrams = peer.NewDatagrams(g.group.Context(), self, datagrams, g.receive, o.Log)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -33,8 +33,8 @@
 	RunSpecs(t, "gateway")
 }
 
-// dialect holds the header names that these tests use.
-var dialect = forward.HeaderNames{
+// headerNames holds the header names that these tests use.
+var headerNames = forward.HeaderNames{
 	RequestID: "X-Id", Deadline: "X-Wait-Ms", Organisation: "X-Organisation", ExpectTarget: "X-Expect",
 	NotRun: "X-Not-Run", LastEventID: "Last-Event-Id",
 	PromptSize: "X-Size", PromptParts: "X-Parts", OutputHint: "X-Hint", FetchFrom: "X-Fetch",
@@ -104,7 +104,7 @@
 	n := incarnation.Add(1)
 	g, err := gateway.New(context.Background(), gateway.Options{
 		ID: fmt.Sprint("router-", n), Zone: "z", Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0", Seeds: seeds,
-		Incarnation: n, Dialect: dialect, Codec: codec{}, Log: logr.Discard(), Metrics: r.metrics,
+		Incarnation: n, Headers: headerNames, Codec: codec{}, Log: logr.Discard(), Metrics: r.metrics,
 		Limits: limits,
 	})
 	Expect(err).NotTo(HaveOccurred())
@@ -165,8 +165,8 @@
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader("question"))
 	Expect(err).NotTo(HaveOccurred())
 	req.Host = "h"
-	req.Header.Set(dialect.RequestID, fmt.Sprint("r", lastID.Add(1)))
-	req.Header.Set(dialect.Deadline, "4000")
+	req.Header.Set(headerNames.RequestID, fmt.Sprint("r", lastID.Add(1)))
+	req.Header.Set(headerNames.Deadline, "4000")
 	req.Header.Set("Authorization", "Bearer key")
 	return req
 }
@@ -187,7 +187,7 @@
 
 // answer is a target's handler that sends a complete response.
 func answer(w http.ResponseWriter, r *http.Request) {
-	w.Header().Set(dialect.RequestID, r.Header.Get(dialect.RequestID))
+	w.Header().Set(headerNames.RequestID, r.Header.Get(headerNames.RequestID))
 	w.Header().Set(headerSeal, "seal")
 	fmt.Fprint(w, "answer")
 }
@@ -197,14 +197,14 @@
 func streamer(end, last int, pause time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		from := 0
-		if text := r.Header.Get(dialect.LastEventID); text != "" {
+		if text := r.Header.Get(headerNames.LastEventID); text != "" {
 			_, err := fmt.Sscan(text, &from)
 			if err != nil {
 				w.WriteHeader(http.StatusBadRequest)
 				return
 			}
 		}
-		w.Header().Set(dialect.RequestID, r.Header.Get(dialect.RequestID))
+		w.Header().Set(headerNames.RequestID, r.Header.Get(headerNames.RequestID))
 		w.Header().Set(headerSeal, "seal")
 		w.Header().Set("Content-Type", "text/event-stream")
 		for i := from + 1; i <= last; i++ {
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -27,7 +27,7 @@
 	for i := range routers {
 		g, err := gateway.New(ctx, gateway.Options{
 			ID: fmt.Sprint("idle-", i), Zone: fmt.Sprint("z", i%zones), Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
-			Seeds: seeds, Incarnation: incarnation.Add(1), Dialect: dialect, Codec: codec{}, Log: logr.Discard(),
+			Seeds: seeds, Incarnation: incarnation.Add(1), Headers: headerNames, Codec: codec{}, Log: logr.Discard(),
 			Metrics: gateway.NewMetrics(), Limits: balance.Limits{QuotaWindow: time.Second},
 		})
 		if err != nil {
--- a/internal/gateway/report_test.go
+++ b/internal/gateway/report_test.go
@@ -207,7 +207,7 @@
 		Eventually(func() bool { return other.lastRecord().Ready }).Should(BeTrue())
 		for _, size := range []string{"50,10", "5000,10"} {
 			q := newRequest(r.Self().Address, "/many/x")
-			q.Header.Set(dialect.PromptSize, size)
+			q.Header.Set(headerNames.PromptSize, size)
 			background(func() { do(q) })
 			Eventually(came).Should(Receive())
 		}
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -21,7 +21,7 @@
 // notRun returns a handler of a target that rejects requests without running them.
 func notRun(status int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(dialect.NotRun, "1")
+		w.Header().Set(headerNames.NotRun, "1")
 		w.WriteHeader(status)
 	}
 }
@@ -63,7 +63,7 @@
 		addresses := map[string]string{}
 		for _, id := range []string{"a", "b"} {
 			addresses[id] = r.serve(id, func(w http.ResponseWriter, q *http.Request) {
-				seen <- received{id, q.Header.Get(dialect.FetchFrom)}
+				seen <- received{id, q.Header.Get(headerNames.FetchFrom)}
 				<-release
 				answer(w, q)
 			})
@@ -71,9 +71,9 @@
 		defer close(release)
 		send := func() received {
 			q := newRequest(r.Self().Address, "/many/x")
-			q.Header.Set(dialect.PromptSize, "6100,10")
-			q.Header.Set(dialect.PromptParts, "shared:6000,own:100")
-			q.Header.Set(dialect.FetchFrom, "192.0.2.1:1")
+			q.Header.Set(headerNames.PromptSize, "6100,10")
+			q.Header.Set(headerNames.PromptParts, "shared:6000,own:100")
+			q.Header.Set(headerNames.FetchFrom, "192.0.2.1:1")
 			background(func() { do(q) })
 			var t received
 			Eventually(seen).Should(Receive(&t))
@@ -104,7 +104,7 @@
 		req.Header.Set("X-Other", "kept")
 		req.Header.Set("Connection", "X-Hop")
 		req.Header.Set("X-Hop", "dropped")
-		req.Header.Set(dialect.Organisation, "somebody-else")
+		req.Header.Set(headerNames.Organisation, "somebody-else")
 		got := do(req)
 		Expect(got.Status).To(Equal(http.StatusOK))
 		Expect(got.Body).To(Equal("answer"))
@@ -115,10 +115,10 @@
 		Expect(seen.Header.Get("X-Other")).To(Equal("kept"))
 		Expect(seen.Header).NotTo(HaveKey("X-Hop"))
 		Expect(seen.Header).NotTo(HaveKey("Authorization"))
-		Expect(seen.Header.Values(dialect.Organisation)).To(Equal([]string{"o"}))
-		Expect(seen.Header.Get(dialect.ExpectTarget)).To(Equal("t"))
-		Expect(seen.Header.Get(dialect.RequestID)).To(Equal(req.Header.Get(dialect.RequestID)))
-		left, err := strconv.Atoi(seen.Header.Get(dialect.Deadline))
+		Expect(seen.Header.Values(headerNames.Organisation)).To(Equal([]string{"o"}))
+		Expect(seen.Header.Get(headerNames.ExpectTarget)).To(Equal("t"))
+		Expect(seen.Header.Get(headerNames.RequestID)).To(Equal(req.Header.Get(headerNames.RequestID)))
+		left, err := strconv.Atoi(seen.Header.Get(headerNames.Deadline))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(left).To(And(BeNumerically(">", 2000), BeNumerically("<=", 4000)))
 	})
@@ -131,11 +131,11 @@
 			answer(w, q)
 		})
 		req := newRequest(r.Self().Address, "/many/x")
-		for _, name := range dialect.Reserved {
+		for _, name := range headerNames.Reserved {
 			req.Header.Set(name, "callers-own")
 		}
 		Expect(do(req).Status).To(Equal(http.StatusOK))
-		for _, name := range dialect.Reserved {
+		for _, name := range headerNames.Reserved {
 			Expect(seen.Values(name)).NotTo(ContainElement("callers-own"), name)
 			Expect(len(seen.Values(name))).To(BeNumerically("<=", 1), name)
 		}
@@ -153,8 +153,8 @@
 		Entry("another host", func(q *http.Request) { q.Host = "other" }, http.StatusNotFound),
 		Entry("no key", func(q *http.Request) { q.Header.Del("Authorization") }, http.StatusUnauthorized),
 		Entry("unknown key", func(q *http.Request) { q.Header.Set("Authorization", "Bearer x") }, http.StatusUnauthorized),
-		Entry("no id", func(q *http.Request) { q.Header.Del(dialect.RequestID) }, http.StatusBadRequest),
-		Entry("invalid deadline", func(q *http.Request) { q.Header.Set(dialect.Deadline, "soon") }, http.StatusBadRequest),
+		Entry("no id", func(q *http.Request) { q.Header.Del(headerNames.RequestID) }, http.StatusBadRequest),
+		Entry("invalid deadline", func(q *http.Request) { q.Header.Set(headerNames.Deadline, "soon") }, http.StatusBadRequest),
 	)
 
 	It("is rejected if its body exceeds the limit, with a Content-Length or chunked", func() {
--- a/internal/gateway/streams_test.go
+++ b/internal/gateway/streams_test.go
@@ -30,7 +30,7 @@
 		if err != nil {
 			return
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nTransfer-Encoding: chunked\r\n\r\n", req.Header.Get(dialect.RequestID))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nTransfer-Encoding: chunked\r\n\r\n", req.Header.Get(headerNames.RequestID))
 		for i := range count {
 			event := fmt.Sprintf("id: %d\ndata: %050d\n\n", i+1, i)
 			fmt.Fprintf(c, "%x\r\n%s\r\n", len(event), event)
@@ -51,7 +51,7 @@
 		b.Run(name, func(b *testing.B) {
 			g, err := gateway.New(context.Background(), gateway.Options{
 				ID: "r", Zone: "z", Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0", Incarnation: 1, Capacity: cores,
-				Dialect: dialect, Codec: codec{}, Log: logr.Discard(), Metrics: gateway.NewMetrics(),
+				Headers: headerNames, Codec: codec{}, Log: logr.Discard(), Metrics: gateway.NewMetrics(),
 				Limits: balance.Limits{RetryWindow: time.Second, QuotaWindow: time.Second},
 			})
 			if err != nil {
