--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -79,7 +79,7 @@
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CONTENT\tORGANISATION\tSTATE\tTARGETS ENDED\tLAST ENDED\tLAST CAME")
 	for _, r := range shown {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.0f s ago\t%.0f s ago\n", r.Content, r.Organisation, r.State, r.Crashes, r.LastCrash, r.LastSeen)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.0f s ago\t%.0f s ago\n", r.Content, r.Organisation, r.State, r.Crashes, r.SecondsSinceCrash, r.SecondsSinceSeen)
 	}
 	return errors.Wrap(w.Flush(), "write list")
 }
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -22,17 +22,17 @@
 	// crashes when it was sent as a trial after earlier ones.
 	Crashes int `json:"crashes"`
 	Trials  int `json:"trials"`
-	// LastCrash is the time since the last crash, LastSeen the time since the request last
-	// came, and Away the time for which it will still be rejected, all in seconds.
-	LastCrash float64 `json:"last_crash_s"`
-	LastSeen  float64 `json:"last_seen_s"`
-	Away      float64 `json:"away_s"`
+	// SecondsSinceCrash is the time since the last crash, SecondsSinceSeen the time since the
+	// request last came, and RejectedForSeconds the time for which it will still be rejected.
+	SecondsSinceCrash  float64 `json:"last_crash_s"`
+	SecondsSinceSeen   float64 `json:"last_seen_s"`
+	RejectedForSeconds float64 `json:"away_s"`
 }
 
 func newSuspect(now time.Time, v *quarantine.View, r quarantine.Record) Suspect {
 	out := Suspect{
 		Content: r.Key.String(), Organisation: r.Organisation, Targets: crashedTargets(r), Crashes: r.Uncleared(),
-		LastCrash: r.SinceCrash.Seconds(), LastSeen: r.SinceSeen.Seconds(), Away: v.RejectedFor(now, r.Key).Seconds(),
+		SecondsSinceCrash: r.SinceCrash.Seconds(), SecondsSinceSeen: r.SinceSeen.Seconds(), RejectedForSeconds: v.RejectedFor(now, r.Key).Seconds(),
 	}
 	for _, c := range r.Crashes {
 		if c.Trial {
@@ -44,7 +44,7 @@
 		out.State = "cleared"
 	case quarantine.HeldBack(out.Crashes):
 		out.State = "held back"
-	case out.Away > 0:
+	case out.RejectedForSeconds > 0:
 		out.State = "sent away"
 	default:
 		out.State = "suspected"
