--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -81,10 +81,10 @@
 	// EntryTTL is the TTL after which the store removes the entry of a target that has stopped
 	// renewing it; 0 means four seconds.
 	EntryTTL time.Duration
-	// Keeper persists the requests that are held back, so that they survive a restart of all
-	// routers; nil if they are not persisted.
-	Keeper Keeper
-	Log    logr.Logger
+	// QuarantineStore persists the requests that are held back, so that they survive a restart of
+	// all routers; nil if they are not persisted.
+	QuarantineStore QuarantineStore
+	Log             logr.Logger
 	// LogFull reports whether a log line about a request would be dropped, and counts it as
 	// dropped if so; nil means never.
 	LogFull func() bool
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -32,11 +32,11 @@
 	lastExpiry time.Time
 }
 
-// Keeper persists requests that are held back, so that they survive a restart of all routers. Its
-// methods do not block, and return false if too many writes are pending.
-type Keeper interface {
-	Keep(r quarantine.Record) bool
-	Drop(k quarantine.Key) bool
+// QuarantineStore persists requests that are held back, so that they survive a restart of all
+// routers. Its methods do not block, and return false if too many writes are pending.
+type QuarantineStore interface {
+	Save(r quarantine.Record) bool
+	Delete(k quarantine.Key) bool
 }
 
 // Restore adds requests that were held back before this router started.
@@ -168,19 +168,19 @@
 	}
 }
 
-// persist writes changes that arose at this router to the keeper: records of requests that are
-// held back, and the removal of those that were cleared.
+// persist writes changes that arose at this router to the QuarantineStore: records of requests
+// that are held back, and the removal of those that were cleared.
 func (g *Gateway) persist(list []quarantine.Record) {
-	if g.Keeper == nil {
+	if g.QuarantineStore == nil {
 		return
 	}
 	for _, r := range list {
 		kept := true
 		switch n := r.Uncleared(); {
 		case quarantine.HeldBack(n):
-			kept = g.Keeper.Keep(r)
+			kept = g.QuarantineStore.Save(r)
 		case n == 0 && quarantine.HeldBack(len(r.Crashes)):
-			kept = g.Keeper.Drop(r.Key)
+			kept = g.QuarantineStore.Delete(r.Key)
 		}
 		if !kept {
 			g.Log.Info("request held back not kept", "content", r.Key.String())
@@ -254,7 +254,7 @@
 
 // expireSuspects removes records of suspected requests that are too old, at most once every
 // expireInterval. Of all running routers only the one that ranks first removes a record from the
-// keeper.
+// QuarantineStore.
 func (g *Gateway) expireSuspects(now time.Time) {
 	if now.Sub(g.quarantine.lastExpiry) < expireInterval {
 		return
@@ -264,7 +264,7 @@
 		if r.Uncleared() > 1 {
 			g.Log.Info("request forgotten", "content", r.Key.String(), "organisation", r.Organisation, "crashes", r.Uncleared())
 		}
-		if g.Keeper != nil && quarantine.HeldBack(r.Uncleared()) && g.ranksFirst(now, r.Key) && !g.Keeper.Drop(r.Key) {
+		if g.QuarantineStore != nil && quarantine.HeldBack(r.Uncleared()) && g.ranksFirst(now, r.Key) && !g.QuarantineStore.Delete(r.Key) {
 			g.Log.Info("request held back not deleted", "content", r.Key.String())
 		}
 		g.publishSuspects()
--- a/internal/gateway/quarantine_internal_test.go
+++ b/internal/gateway/quarantine_internal_test.go
@@ -92,38 +92,38 @@
 	}
 }
 
-// countingKeeper is a Keeper that counts the calls of Keep by key.
-type countingKeeper struct {
+// countingStore is a QuarantineStore that counts the calls of Save by key.
+type countingStore struct {
 	mu    sync.Mutex
 	count map[quarantine.Key]int
 }
 
-func (k *countingKeeper) Keep(r quarantine.Record) bool {
+func (k *countingStore) Save(r quarantine.Record) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.count[r.Key]++
 	return true
 }
 
-func (k *countingKeeper) Drop(quarantine.Key) bool { return true }
+func (k *countingStore) Delete(quarantine.Key) bool { return true }
 
 // TestHeldBackRequestsAfterStoreCameBackOlder guards against losing held-back requests: a store
 // that came back from an older copy may lack them, and they would be lost if all routers were
 // killed without having written them again.
 func TestHeldBackRequestsAfterStoreCameBackOlder(t *testing.T) {
 	g := newConfigured(t)
-	keeper := &countingKeeper{count: map[quarantine.Key]int{}}
+	store := &countingStore{count: map[quarantine.Key]int{}}
 	key := quarantine.KeyOf("o", "POST", "/x", nil)
-	g.loop.PostAndWait(context.Background(), func(*balance.State, time.Time) { g.Keeper = keeper })
+	g.loop.PostAndWait(context.Background(), func(*balance.State, time.Time) { g.QuarantineStore = store })
 	for i := range 3 {
 		target := balance.Target{ID: fmt.Sprint("t", i), Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 1, Born: 5}
 		g.SetTargets(int64(8+i), []message.StoredObject{targetEntry(t, int64(8+i), target)})
 		(suspects{g}).RecordBreak(context.Background(), forward.Break{Key: key, Organisation: "o", Target: target, TargetExited: true})
 	}
 	count := func() int {
-		keeper.mu.Lock()
-		defer keeper.mu.Unlock()
-		return keeper.count[key]
+		store.mu.Lock()
+		defer store.mu.Unlock()
+		return store.count[key]
 	}
 	before := count()
 	if before == 0 {
