--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -31,13 +31,13 @@
 }
 
 // callSuspects calls the router's endpoint for suspected requests and returns the response body.
-func (a routerFlags) callSuspects(ctx context.Context, method string, values url.Values) ([]byte, error) {
-	return callRouter(ctx, a.Timeout, method, a.Router, "/suspects?"+values.Encode())
+func (f routerFlags) callSuspects(ctx context.Context, method string, values url.Values) ([]byte, error) {
+	return callRouter(ctx, f.Timeout, method, f.Router, "/suspects?"+values.Encode())
 }
 
 // suspects returns the requests that the router suspects.
-func (a routerFlags) suspects(ctx context.Context) ([]gateway.Suspect, error) {
-	body, err := a.callSuspects(ctx, http.MethodGet, nil)
+func (f routerFlags) suspects(ctx context.Context) ([]gateway.Suspect, error) {
+	body, err := f.callSuspects(ctx, http.MethodGet, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -46,11 +46,11 @@
 }
 
 // postAction makes the routers release or hold a request. It checks the content first.
-func (a routerFlags) postAction(ctx context.Context, do, content, organisation string) error {
+func (f routerFlags) postAction(ctx context.Context, action, content, organisation string) error {
 	if _, err := quarantine.ParseKey(content); err != nil {
 		return errors.Wrap(errUsage, err.Error())
 	}
-	_, err := a.callSuspects(ctx, http.MethodPost, url.Values{"do": {do}, "content": {content}, "organisation": {organisation}})
+	_, err := f.callSuspects(ctx, http.MethodPost, url.Values{"do": {action}, "content": {content}, "organisation": {organisation}})
 	return err
 }
 
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -14,18 +14,18 @@
 	case "":
 		return t.lateCause(end)
 	case "quarantined":
-		held := t.lastBefore("request held back", end.Router, end.Time, func(l Line) bool { return l.text("content") == end.text("content") })
-		return "targets ended each time they ran the same request", nonEmpty(held)
+		heldBack := t.lastBefore("request held back", end.Router, end.Time, func(l Line) bool { return l.text("content") == end.text("content") })
+		return "targets ended each time they ran the same request", nonEmpty(heldBack)
 	case "queue-full":
 		return "no engine had room for it in time" + t.organisationOutcomes(), nil
 	case "over-share", "router-busy", "router-overdue", "organisation-queue-full":
-		why := map[string]string{
+		text := map[string]string{
 			"over-share":              "its organisation had had more than its share while another's requests waited",
 			"router-overdue":          "its connection waited too long for the router's processor",
 			"router-busy":             "the router's processor served no more of its organisation",
 			"organisation-queue-full": "too many requests of its organisation waited at this router",
 		}[reason]
-		return why + t.organisationOutcomes(), nonEmpty(t.lastBefore("organisation throttled", end.Router, end.Time, ofOrganisation))
+		return text + t.organisationOutcomes(), nonEmpty(t.lastBefore("organisation throttled", end.Router, end.Time, ofOrganisation))
 	case "unknown-key", "no-route":
 		return "the configuration in force at this router did not know it",
 			nonEmpty(t.lastBefore("configuration in force", end.Router, end.Time, nil), t.lastBefore("store came back older", end.Router, end.Time, nil))
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -178,10 +178,10 @@
 	end := t.endLine()
 	var out []string
 	if end.Message != "" {
-		came := end.Time.Add(-time.Duration(end.number("took_ms") * float64(time.Millisecond)))
+		arrival := end.Time.Add(-time.Duration(end.number("took_ms") * float64(time.Millisecond)))
 		out = append(out, fmt.Sprintf("%s  %s reads it: organisation %s, route %s, %.0f tokens in, %.0f out",
-			clockText(came), end.Router, orDefault(end.text("organisation"), "none"), orDefault(end.text("route"), "none"), end.number("input"), end.number("output")))
-		out = append(out, t.routerState(end.Router, came)...)
+			clockText(arrival), end.Router, orDefault(end.text("organisation"), "none"), orDefault(end.text("route"), "none"), end.number("input"), end.number("output")))
+		out = append(out, t.routerState(end.Router, arrival)...)
 	}
 	for _, l := range t.RequestLines {
 		out = append(out, clockText(l.Time)+"  "+l.Router+" "+describe(l))
@@ -204,7 +204,8 @@
 	return out
 }
 
-// routerState describes the router's configuration, targets and store when the request came.
+// routerState describes the router's configuration, targets and store when the request came. Lapsed
+// targets are those whose TTL ran out while the store was unavailable.
 func (t *Timeline) routerState(router string, at time.Time) []string {
 	var out []string
 	if l := t.lastBefore("configuration in force", router, at, nil); l.Message != "" {
@@ -215,7 +216,7 @@
 			l.number("targets"), l.number("leaving"), l.number("lapsed"), ageText(at.Sub(l.Time)), l.text("from")))
 	}
 	lost := t.lastBefore("store lost", router, at, nil)
-	if back := t.lastBefore("store regained", router, at, nil); lost.Message != "" && back.Time.Before(lost.Time) {
+	if regained := t.lastBefore("store regained", router, at, nil); lost.Message != "" && regained.Time.Before(lost.Time) {
 		out = append(out, fmt.Sprintf("    the store was lost to it %s before", ageText(at.Sub(lost.Time))))
 	}
 	return out
@@ -225,11 +226,11 @@
 func describe(l Line) string {
 	switch l.Message {
 	case msgRequest:
-		how := fmt.Sprintf("%s, status %.0f", l.text("outcome"), l.number("status"))
-		if why := l.text("reason"); why != "" {
-			how += ", " + why
+		outcome := fmt.Sprintf("%s, status %.0f", l.text("outcome"), l.number("status"))
+		if reason := l.text("reason"); reason != "" {
+			outcome += ", " + reason
 		}
-		return fmt.Sprintf("ends it: %s; waited %.1f ms, %.0f sends, first %.1f ms, took %.1f ms", how, l.number("waited_ms"), l.number("sends"), l.number("first_ms"), l.number("took_ms"))
+		return fmt.Sprintf("ends it: %s; waited %.1f ms, %.0f sends, first %.1f ms, took %.1f ms", outcome, l.number("waited_ms"), l.number("sends"), l.number("first_ms"), l.number("took_ms"))
 	case msgSentAgain:
 		return fmt.Sprintf("leaves target %s: %s (%s) after %.0f events", l.text("target"), l.text("reason"), l.text("cause"), l.number("events"))
 	case msgGivenUp:
@@ -247,6 +248,7 @@
 	return strings.Join(out, " ")
 }
 
+// sortedNames returns the names of the fields that are specific to the message, sorted.
 func sortedNames(fields map[string]any) []string {
 	var names []string
 	for name := range fields {
@@ -258,13 +260,14 @@
 	return names
 }
 
+// clockText formats the time of day.
 func clockText(t time.Time) string { return t.Format("15:04:05.000") }
 
 func ageText(d time.Duration) string { return d.Round(time.Millisecond).String() }
 
-func orDefault(a, b string) string {
-	if a == "" {
-		return b
+func orDefault(text, fallback string) string {
+	if text == "" {
+		return fallback
 	}
-	return a
+	return text
 }
