--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -3,9 +3,9 @@
 // the exchange with the other routers.
 //
 // The store counts its lives in an era, which is raised when the store comes back from an older
-// copy; its revisions are compared together with the era. A target's entry is lapsed if its TTL
-// ran out while the store was unavailable: the target stays in use until it is known to be gone
-// or its time is over.
+// copy; its revisions are compared together with the era. A target's entry has lapsed if it
+// disappeared while the store was in trouble, since its TTL may have run out only for that reason;
+// the target stays in use for a limited time.
 package gateway
 
 import (
@@ -40,10 +40,10 @@
 const (
 	// sweepInterval is the interval at which old idle connections to targets are closed.
 	sweepInterval = time.Second
-	// defaultRequests and defaultConnections bound the callers' concurrent requests and
+	// defaultMaxRequests and defaultMaxConnections bound the callers' concurrent requests and
 	// connections if Options.CallerLimits does not.
-	defaultRequests    = 1000
-	defaultConnections = 4000
+	defaultMaxRequests    = 1000
+	defaultMaxConnections = 4000
 	// defaultTargetDrain is how long a leaving target continues to serve if Options.TargetDrain
 	// is not set: the shortest such time of the known installations.
 	defaultTargetDrain = 2 * time.Second
@@ -211,8 +211,8 @@
 	g.transport = httptarget.New(g.group)
 	forwarder := forward.New(o.Headers, g.transport, g.loop, suspects{g}, o.Log, o.Metrics)
 	g.server = ingress.New(o.Headers, forwarder, g.observer(), ingress.Limits{
-		Requests:    cmp.Or(o.CallerLimits.Requests, defaultRequests),
-		Connections: cmp.Or(o.CallerLimits.Connections, defaultConnections),
+		Requests:    cmp.Or(o.CallerLimits.Requests, defaultMaxRequests),
+		Connections: cmp.Or(o.CallerLimits.Connections, defaultMaxConnections),
 	}, o.Log)
 	g.peers = peer.New(g.group.Context(), self, peerListener, g.receive, o.Log)
 	g.datagrams = peer.NewDatagrams(g.group.Context(), self, datagrams, g.receive, o.Log)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -26,8 +26,8 @@
 	// startupWatchers is the approximate number of routers that call the store regardless of
 	// their rank if all have just started, since those that rank first may start last. With
 	// them, callers are served again 0.5 s after all of 33 routers were killed and 2.0 s after
-	// all of 101 were; without them, after 1.0 s and 2.5 s (one run of a day at each size, to
-	// the nearest 0.5 s).
+	// all of 101 were; without them, after 1.0 s and 2.5 s (from one day at each size, in
+	// steps of 0.5 s).
 	startupWatchers = 6
 )
 
