--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -17,49 +17,50 @@
 
 // quarantineCommand is "stepcroft quarantine".
 type quarantineCommand struct {
-	List    listSuspects   `cmd:"" help:"List the requests under which targets ended, those held back first."`
-	Show    showSuspect    `cmd:"" help:"Show one of them."`
-	Release releaseSuspect `cmd:"" help:"Let one go at all routers: targets have to end under it anew."`
-	Hold    holdSuspect    `cmd:"" help:"Hold one back at all routers, until it is released or has not come for an hour."`
+	List    listSuspects   `cmd:"" help:"List the requests that are suspected of crashing targets, those held back first."`
+	Show    showSuspect    `cmd:"" help:"Show a suspected request."`
+	Release releaseSuspect `cmd:"" help:"Release a request at all routers; earlier crashes no longer count against it."`
+	Hold    holdSuspect    `cmd:"" help:"Hold a request back at all routers, until it is released or has not been sent for an hour."`
 }
 
-// asked is a router that is asked.
-type asked struct {
-	Router  string        `help:"Any router's metrics address." required:""`
-	Timeout time.Duration `help:"How long to wait for it." default:"3s"`
+// routerFlags holds the flags for the router to call. Any router will do, since routers share the
+// quarantine.
+type routerFlags struct {
+	Router  string        `help:"Admin or metrics address of any router." required:""`
+	Timeout time.Duration `help:"How long to wait for the router." default:"3s"`
 }
 
-// call sends a call to the router and returns its answer.
-func (a asked) call(ctx context.Context, method string, values url.Values) ([]byte, error) {
-	return askRouter(ctx, a.Timeout, method, a.Router, "/suspects?"+values.Encode())
+// callSuspects calls the router's endpoint for suspected requests and returns the response body.
+func (f routerFlags) callSuspects(ctx context.Context, method string, values url.Values) ([]byte, error) {
+	return callRouter(ctx, f.Timeout, method, f.Router, "/suspects?"+values.Encode())
 }
 
-// suspects returns what the router suspects.
-func (a asked) suspects(ctx context.Context) ([]gateway.Suspect, error) {
-	body, err := a.call(ctx, http.MethodGet, nil)
+// suspects returns the requests that the router suspects.
+func (f routerFlags) suspects(ctx context.Context) ([]gateway.Suspect, error) {
+	body, err := f.callSuspects(ctx, http.MethodGet, nil)
 	if err != nil {
 		return nil, err
 	}
 	var list []gateway.Suspect
-	return list, errors.Wrap(json.Unmarshal(body, &list), "read answer")
+	return list, errors.Wrap(json.Unmarshal(body, &list), "parse response")
 }
 
-// act asks the router to do something with a request.
-func (a asked) act(ctx context.Context, do, content, organisation string) error {
+// postAction makes the routers release or hold a request. It checks the content first.
+func (f routerFlags) postAction(ctx context.Context, action, content, organisation string) error {
 	if _, err := quarantine.ParseKey(content); err != nil {
 		return errors.Wrap(errUsage, err.Error())
 	}
-	_, err := a.call(ctx, http.MethodPost, url.Values{"do": {do}, "content": {content}, "organisation": {organisation}})
+	_, err := f.callSuspects(ctx, http.MethodPost, url.Values{"do": {action}, "content": {content}, "organisation": {organisation}})
 	return err
 }
 
 type listSuspects struct {
-	asked
-	All    bool   `help:"Also those that one target ended under, and those that were cleared."`
-	Output string `help:"text or json." short:"o" enum:"text,json" default:"text"`
+	routerFlags
+	All    bool   `help:"Also list requests that crashed a single target, and requests that were cleared."`
+	Output string `help:"Output format: text or json." short:"o" enum:"text,json" default:"text"`
 }
 
-// Run lists suspected requests.
+// Run lists suspected requests, grouped by state.
 func (c *listSuspects) Run(ctx context.Context, s streams) error {
 	list, err := c.suspects(ctx)
 	if err != nil {
@@ -79,14 +80,14 @@
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CONTENT\tORGANISATION\tSTATE\tTARGETS ENDED\tLAST ENDED\tLAST CAME")
 	for _, r := range shown {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.0f s ago\t%.0f s ago\n", r.Content, r.Organisation, r.State, r.Crashes, r.LastCrash, r.LastSeen)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.0f s ago\t%.0f s ago\n", r.Content, r.Organisation, r.State, r.Crashes, r.SecondsSinceCrash, r.SecondsSinceSeen)
 	}
 	return errors.Wrap(w.Flush(), "write list")
 }
 
 type showSuspect struct {
-	asked
-	Content string `arg:"" help:"The request's content, as lines and the list have it."`
+	routerFlags
+	Content string `arg:"" help:"The request's content hash, as in log lines and in the list."`
 }
 
 // Run shows one suspected request as JSON.
@@ -106,22 +107,22 @@
 }
 
 type releaseSuspect struct {
-	asked
-	Content string `arg:"" help:"The request's content."`
+	routerFlags
+	Content string `arg:"" help:"The request's content hash."`
 }
 
-// Run lets a request go.
+// Run releases a request.
 func (c *releaseSuspect) Run(ctx context.Context) error {
-	return c.act(ctx, "release", c.Content, "")
+	return c.postAction(ctx, "release", c.Content, "")
 }
 
 type holdSuspect struct {
-	asked
-	Content      string `arg:"" help:"The request's content."`
-	Organisation string `help:"Whose it is."`
+	routerFlags
+	Content      string `arg:"" help:"The request's content hash."`
+	Organisation string `help:"Organisation that sends the request."`
 }
 
 // Run holds a request back.
 func (c *holdSuspect) Run(ctx context.Context) error {
-	return c.act(ctx, "hold", c.Content, c.Organisation)
+	return c.postAction(ctx, "hold", c.Content, c.Organisation)
 }
