--- a/internal/adapter/engine/engine_test.go
+++ b/internal/adapter/engine/engine_test.go
@@ -78,7 +78,7 @@
 		e.SetFaults(standin.Faults{Outage: true})
 		_, err = client.Complete(ctx, e.Address(), completion("a", "", "x", 0))
 		Expect(errors.Is(err, port.ErrBroken)).To(BeTrue())
-		e.SetFaults(standin.Faults{BreakAfter: 2})
+		e.SetFaults(standin.Faults{BreakAfterTokens: 2})
 		s, err := client.Complete(ctx, e.Address(), completion("a", "", standin.Prompt("t", 1, 5), 0))
 		Expect(err).NotTo(HaveOccurred())
 		n, err := drain(s)
@@ -88,7 +88,7 @@
 
 	It("resumes a broken-off response on another engine after moving its KV cache there", func() {
 		a, b := startEngine(standin.EngineOptions{}), startEngine(standin.EngineOptions{})
-		a.SetFaults(standin.Faults{BreakAfter: 2})
+		a.SetFaults(standin.Faults{BreakAfterTokens: 2})
 		prompt := standin.Prompt("t", 1, 5)
 		s, err := client.Complete(ctx, a.Address(), completion("moved", "", prompt, 0))
 		Expect(err).NotTo(HaveOccurred())
@@ -109,7 +109,7 @@
 
 	It("reports an order with an old epoch as fenced only if the engine checks epochs", func() {
 		for _, checks := range []bool{true, false} {
-			e := startEngine(standin.EngineOptions{ChecksEpoch: checks})
+			e := startEngine(standin.EngineOptions{CheckEpoch: checks})
 			Expect(client.Order(ctx, e.Address(), port.Order{Epoch: 2, Kind: port.OrderLoadModel, Name: "m", Version: "1"})).To(Succeed())
 			err := client.Order(ctx, e.Address(), port.Order{Epoch: 1, Kind: port.OrderLoadModel, Name: "old"})
 			Expect(errors.Is(err, port.ErrFenced)).To(Equal(checks))
@@ -133,11 +133,11 @@
 		Expect(events).To(HaveLen(3))
 		Expect(events[0].Prefix).To(Equal(standin.PrefixKey("first system prompt")))
 		Expect([]bool{events[0].Stored, events[1].Stored, events[2].Stored}).To(Equal([]bool{true, false, true}))
-		e.SetFaults(standin.Faults{DropEvents: 2})
+		e.SetFaults(standin.Faults{DropEveryNthEvent: 2})
 		events, err = client.CacheEvents(ctx, e.Address(), 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(events).To(HaveLen(2))
-		e.SetFaults(standin.Faults{LateLoadMS: 60000})
+		e.SetFaults(standin.Faults{LoadAgeMS: 60000})
 		events, err = client.CacheEvents(ctx, e.Address(), 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(events).To(BeEmpty())
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -139,8 +139,8 @@
 	return n
 }
 
-// Began implements standin.Observer.
-func (l *Ledger) Began(tag string) {
+// Started implements standin.Observer.
+func (l *Ledger) Started(tag string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.requests[tag]
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -239,7 +239,7 @@
 	})
 
 	It("resumes a broken answer on an engine that can, even if the request may not be repeated", func() {
-		s.engine.SetFaults(standin.Faults{BreakAfter: 3})
+		s.engine.SetFaults(standin.Faults{BreakAfterTokens: 3})
 		defer s.engine.SetFaults(standin.Faults{})
 		for _, stream := range []bool{true, false} {
 			a := s.do(s.routers[0], "POST", "/v1/chat/completions", chat("r", 8, stream), httpcaller.HeaderRepeatable, "false")
@@ -251,7 +251,7 @@
 	})
 
 	It("restarts an answer that is not streamed when it retries the request", func() {
-		s.engine.SetFaults(standin.Faults{BreakAfter: 3, ForgetBroken: true})
+		s.engine.SetFaults(standin.Faults{BreakAfterTokens: 3, ForgetBroken: true})
 		answered := make(chan answer, 1)
 		g := group.New(context.Background())
 		g.Go(func() {
@@ -276,7 +276,7 @@
 	})
 
 	It("ends a broken stream so that no client takes it for complete", func() {
-		s.engine.SetFaults(standin.Faults{BreakAfter: 2, ForgetBroken: true})
+		s.engine.SetFaults(standin.Faults{BreakAfterTokens: 2, ForgetBroken: true})
 		defer s.engine.SetFaults(standin.Faults{})
 		a := s.do(s.routers[0], "POST", "/v1/chat/completions", chat("b", 9, true))
 		Expect(a.body).NotTo(ContainSubstring("[DONE]"))
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -20,14 +20,14 @@
 // identified by the tag that its caller put into the prompt; see Prompt. For a service, the tag is
 // the body of the request.
 type Observer interface {
-	// Began is called when a request starts to run in a slot.
-	Began(tag string)
+	// Started is called when a request starts to run in a slot.
+	Started(tag string)
 	// Served is called with the cost served for a request since the last call, in units of one
 	// generated token.
 	Served(tag string, cost float64)
 	// Ended is called when a request leaves its slot; whole is set if it ran to completion.
 	Ended(tag string, whole bool)
-	// Resumed is called instead of Began when a request runs to continue a broken answer.
+	// Resumed is called instead of Started when a request runs to continue a broken answer.
 	Resumed(tag string)
 }
 
@@ -46,9 +46,9 @@
 	PromptCost float64
 	// CacheTokens is the capacity of the cache of prompt prefixes, in tokens.
 	CacheTokens int
-	// ChecksEpoch makes the engine refuse orders whose epoch is lower than the highest one
+	// CheckEpoch makes the engine refuse orders whose epoch is lower than the highest one
 	// received.
-	ChecksEpoch bool
+	CheckEpoch bool
 	// Observer may be nil.
 	Observer Observer
 }
@@ -140,11 +140,11 @@
 	defer e.mu.Unlock()
 	now := clock.Now()
 	current := port.EngineLoad{Running: e.running, Queued: len(e.queue), Slots: e.options.Slots, Leaving: f.Leaving}
-	if f.LateLoadMS == 0 {
+	if f.LoadAgeMS == 0 {
 		return current
 	}
 	e.pastLoads = append(e.pastLoads, timedLoad{now, current})
-	due := now.Add(-time.Duration(f.LateLoadMS) * time.Millisecond)
+	due := now.Add(-time.Duration(f.LoadAgeMS) * time.Millisecond)
 	for len(e.pastLoads) > 1 && e.pastLoads[1].at.Before(due) {
 		e.pastLoads = e.pastLoads[1:]
 	}
@@ -285,7 +285,7 @@
 			e.storeBrokenAnswer(id, j, i)
 			return
 		}
-		if f := e.faults(); f.BreakAfter > 0 && i-from >= f.BreakAfter {
+		if f := e.faults(); f.BreakAfterTokens > 0 && i-from >= f.BreakAfterTokens {
 			e.storeBrokenAnswer(id, j, i)
 			closeConnection(w)
 			return
@@ -336,7 +336,7 @@
 	case resumed:
 		e.options.Observer.Resumed(j.tag)
 	default:
-		e.options.Observer.Began(j.tag)
+		e.options.Observer.Started(j.tag)
 	}
 }
 
--- a/internal/standin/enginecache.go
+++ b/internal/standin/enginecache.go
@@ -119,6 +119,6 @@
 		return
 	}
 	f := e.faults()
-	events := e.cache.since(sequence, time.Duration(f.LateLoadMS)*time.Millisecond, uint64(f.DropEvents))
+	events := e.cache.since(sequence, time.Duration(f.LoadAgeMS)*time.Millisecond, uint64(f.DropEveryNthEvent))
 	writeJSON(w, http.StatusOK, events)
 }
--- a/internal/standin/engineorders.go
+++ b/internal/standin/engineorders.go
@@ -25,7 +25,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.options.ChecksEpoch && o.Epoch < e.highestEpoch {
+	if e.options.CheckEpoch && o.Epoch < e.highestEpoch {
 		http.Error(w, "a higher epoch was seen", http.StatusConflict)
 		return
 	}
--- a/internal/standin/enginequeue.go
+++ b/internal/standin/enginequeue.go
@@ -101,8 +101,8 @@
 	close(heap.Pop(&e.queue).(*waiter).slotGranted)
 }
 
-// Drained waits until no request runs or waits in the engine, or until ctx is done.
-func (e *Engine) Drained(ctx context.Context) error {
+// WaitIdle waits until no request runs or waits in the engine, or until ctx is done.
+func (e *Engine) WaitIdle(ctx context.Context) error {
 	for {
 		e.mu.Lock()
 		busy := e.running + len(e.queue)
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -22,19 +22,19 @@
 	Leaving bool `json:"leaving" yaml:"leaving"`
 	// Refuse makes an engine or service refuse requests as not run.
 	Refuse bool `json:"refuse" yaml:"refuse"`
-	// BreakAfter is the number of tokens after which an engine breaks off each answer; 0 means
-	// never.
-	BreakAfter int `json:"break_after" yaml:"break_after" validate:"min=0"`
+	// BreakAfterTokens is the number of tokens after which an engine breaks off each answer; 0
+	// means never.
+	BreakAfterTokens int `json:"break_after" yaml:"break_after" validate:"min=0"`
 	// ForgetBroken makes an engine refuse to continue broken answers.
 	ForgetBroken bool `json:"forget_broken" yaml:"forget_broken"`
-	// DropEvents makes an engine not report every n-th cache event, with n as the value; 0 means
-	// that all are reported.
-	DropEvents int `json:"drop_events" yaml:"drop_events" validate:"min=0"`
-	// Reorder makes the platform return changes in reverse order.
-	Reorder bool `json:"reorder" yaml:"reorder"`
-	// LateLoadMS is the age of an engine's load reports and cache events when they are returned,
+	// DropEveryNthEvent makes an engine leave out every n-th cache event, with n as the value; 0
+	// means that it reports all of them.
+	DropEveryNthEvent int `json:"drop_events" yaml:"drop_events" validate:"min=0"`
+	// ReverseChanges makes the platform return changes in reverse order.
+	ReverseChanges bool `json:"reorder" yaml:"reorder"`
+	// LoadAgeMS is the age of an engine's load reports and cache events when they are returned,
 	// in milliseconds.
-	LateLoadMS int `json:"late_load_ms" yaml:"late_load_ms" validate:"min=0,max=60000"`
+	LoadAgeMS int `json:"late_load_ms" yaml:"late_load_ms" validate:"min=0,max=60000"`
 }
 
 // faultSwitch holds the faults in force. Stand-ins embed it.
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -171,7 +171,7 @@
 		}
 	}
 	slices.SortFunc(out.Objects, func(a, b port.Object) int { return cmp.Compare(a.Revision, b.Revision) })
-	if p.faults().Reorder {
+	if p.faults().ReverseChanges {
 		slices.Reverse(out.Objects)
 	}
 	return out, p.changed
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -51,7 +51,7 @@
 		return
 	}
 	if s.observer != nil {
-		s.observer.Began(string(body))
+		s.observer.Started(string(body))
 		s.observer.Ended(string(body), true)
 	}
 	if f.LoseAnswers {
