--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -90,9 +90,9 @@
 func (l *Ledger) Submitted(a scenario.Arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := &entry{repeatable: !a.Requests.NotRepeatable}
+	e := &entry{repeatable: !a.Group.NotRepeatable}
 	l.requests[a.Tag] = e
-	if p := l.pools[a.Requests.Pool]; p != nil {
+	if p := l.pools[a.Group.Pool]; p != nil {
 		e.pool, e.account, e.waiting = p, p.accounts[a.Organisation], true
 		p.waiting++
 		e.account.waiting++
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -71,7 +71,7 @@
 	switch {
 	case res.StatusCode != http.StatusOK:
 		_, _ = io.Copy(io.Discard, res.Body)
-	case a.Stream:
+	case a.Streamed:
 		readStream(res.Body, start, &r)
 	default:
 		readWhole(res.Body, a, &r)
@@ -92,7 +92,7 @@
 	)
 	for n := range c.fleet.routers {
 		var req *http.Request
-		if req, err = c.newRequest(ctx, a, a.Router+n); err != nil {
+		if req, err = c.newRequest(ctx, a, a.RouterIndex+n); err != nil {
 			return nil, err
 		}
 		res, err = c.client.Do(req)
@@ -120,9 +120,9 @@
 	router := c.fleet.routers[index%len(c.fleet.routers)]
 	url := "http://" + router.Address() + "/v1/chat/completions"
 	body := []byte(fmt.Sprintf(`{"model":%q,"stream":%t,"messages":[{"role":"user","content":%q}]}`,
-		a.Requests.Pool, a.Stream, standin.Prompt(a.Tag, a.Prompt, a.Tokens)))
-	if a.Requests.Service != "" {
-		url = "http://" + router.Address() + "/v1/services/" + a.Requests.Service + "/echo"
+		a.Group.Pool, a.Streamed, standin.Prompt(a.Tag, a.PromptTokens, a.Tokens)))
+	if a.Group.Service != "" {
+		url = "http://" + router.Address() + "/v1/services/" + a.Group.Service + "/echo"
 		body = []byte(a.Tag)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
@@ -131,9 +131,9 @@
 	}
 	req.Header.Set("Authorization", "Bearer "+apiKey(a.Organisation))
 	req.Header.Set(httpcaller.HeaderDeadline, a.Deadline.String())
-	req.Header.Set(httpcaller.HeaderRepeatable, strconv.FormatBool(!a.Requests.NotRepeatable))
-	if a.Hint > 0 {
-		req.Header.Set(httpcaller.HeaderCostHint, strconv.FormatFloat(a.Hint, 'f', 0, 64))
+	req.Header.Set(httpcaller.HeaderRepeatable, strconv.FormatBool(!a.Group.NotRepeatable))
+	if a.CostHint > 0 {
+		req.Header.Set(httpcaller.HeaderCostHint, strconv.FormatFloat(a.CostHint, 'f', 0, 64))
 	}
 	return req, nil
 }
@@ -145,7 +145,7 @@
 		r.invalid = true
 		return
 	}
-	if a.Requests.Service != "" {
+	if a.Group.Service != "" {
 		r.content = string(data)
 		return
 	}
@@ -220,7 +220,7 @@
 
 // expectedContent returns the content that the complete answer to a request must have.
 func expectedContent(a scenario.Arrival) string {
-	if a.Requests.Service != "" {
+	if a.Group.Service != "" {
 		return a.Tag
 	}
 	var b strings.Builder
--- a/internal/load/fault.go
+++ b/internal/load/fault.go
@@ -11,7 +11,7 @@
 
 // setFault turns a fault on or off at its target.
 func (f *fleet) setFault(g *group.Group, fault scenario.Fault, on bool) {
-	set := fault.Set
+	set := fault.StandinFaults
 	if !on {
 		set = standin.Faults{}
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -48,13 +48,13 @@
 		s.Duration = settings.Duration(4 * time.Second)
 		second := settings.Duration(time.Second)
 		s.Faults = []scenario.Fault{
-			{At: second, Target: "r2", Action: "stop"},
-			{At: second, For: second, Target: "platform"},
-			{At: 2 * second, Target: "quoting-1"},
-			{At: second, For: second, Target: "r1", Action: "cut"},
+			{Start: second, Target: "r2", Action: "stop"},
+			{Start: second, Duration: second, Target: "platform"},
+			{Start: 2 * second, Target: "quoting-1"},
+			{Start: second, Duration: second, Target: "r1", Action: "cut"},
 		}
-		s.Faults[1].Set.Outage = true
-		s.Faults[2].Set.Leaving = true
+		s.Faults[1].StandinFaults.Outage = true
+		s.Faults[2].StandinFaults.Leaving = true
 		got, err := load.Run(context.Background(), &s, load.Options{Policies: []string{"default"}, Seed: 1})
 		Expect(err).NotTo(HaveOccurred())
 		p := got.Policies[0]
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -145,9 +145,9 @@
 	}
 	var steps []step
 	for _, f := range r.scenario.Faults {
-		steps = append(steps, step{time.Duration(f.At), f, true})
-		if f.For > 0 {
-			steps = append(steps, step{time.Duration(f.At + f.For), f, false})
+		steps = append(steps, step{time.Duration(f.Start), f, true})
+		if f.Duration > 0 {
+			steps = append(steps, step{time.Duration(f.Start + f.Duration), f, false})
 		}
 	}
 	slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -19,18 +19,18 @@
 	// Tag identifies the request within the scenario; see standin.Prompt.
 	Tag          string
 	Organisation string
-	// Requests is the part of the scenario that the request was drawn from.
-	Requests *Requests
-	// Router is the index of the router it is sent to.
-	Router int
+	// Group is the group of requests that this one belongs to.
+	Group *RequestGroup
+	// RouterIndex is the index of the router that the request is sent to.
+	RouterIndex int
 	// Tokens is the number of tokens to generate.
 	Tokens int
-	// Prompt is the length of the prompt in tokens.
-	Prompt int
-	// Stream asks for a streamed answer.
-	Stream bool
-	// Hint is the cost that the caller announces, in tokens; 0 means no hint.
-	Hint     float64
+	// PromptTokens is the length of the prompt in tokens.
+	PromptTokens int
+	// Streamed asks for a streamed answer.
+	Streamed bool
+	// CostHint is the cost that the caller announces, in tokens; 0 means no hint.
+	CostHint float64
 	Deadline time.Duration
 }
 
@@ -69,45 +69,45 @@
 			At:           at,
 			Tag:          fmt.Sprintf("%s-%d-%d", o.Name, index, n),
 			Organisation: o.Name,
-			Requests:     q,
-			Router:       q.drawRouter(routers, r),
+			Group:        q,
+			RouterIndex:  q.drawRouter(routers, r),
 			Tokens:       q.Tokens.draw(r),
-			Prompt:       q.Prompt.draw(r),
-			Stream:       r.Float64() < q.Streamed,
+			PromptTokens: q.PromptTokens.draw(r),
+			Streamed:     r.Float64() < q.StreamedFraction,
 			Deadline:     cmp.Or(time.Duration(q.Deadline), defaultDeadline),
 		})
 		last := &list[len(list)-1]
-		last.Hint = q.drawHint(last.Tokens, r)
+		last.CostHint = q.drawHint(last.Tokens, r)
 	}
 }
 
 // factorAt returns by how much the flood multiplies the rate at a time after the start.
 func (f Flood) factorAt(at time.Duration) float64 {
-	if f.Factor == 0 || at < time.Duration(f.At) || at >= time.Duration(f.At+f.For) {
+	if f.Factor == 0 || at < time.Duration(f.Start) || at >= time.Duration(f.Start+f.Duration) {
 		return 1
 	}
 	return f.Factor
 }
 
 // drawRouter draws the router of a request from the given ones.
-func (q *Requests) drawRouter(routers []int, r *rand.Rand) int {
+func (q *RequestGroup) drawRouter(routers []int, r *rand.Rand) int {
 	if r.Float64() < q.Skew {
 		return routers[0]
 	}
 	return routers[r.IntN(len(routers))]
 }
 
-// drawHint draws a cost hint that is too high or too low by a factor of up to HintError.
-func (q *Requests) drawHint(tokens int, r *rand.Rand) float64 {
-	if q.HintError == 0 {
+// drawHint draws a cost hint that is too high or too low by a factor of up to MaxHintFactor.
+func (q *RequestGroup) drawHint(tokens int, r *rand.Rand) float64 {
+	if q.MaxHintFactor == 0 {
 		return 0
 	}
-	deviation := math.Exp((2*r.Float64() - 1) * math.Log(q.HintError))
+	deviation := math.Exp((2*r.Float64() - 1) * math.Log(q.MaxHintFactor))
 	return max(1, float64(tokens)*deviation)
 }
 
 // draw returns a random token count of at least 1.
-func (l Length) draw(r *rand.Rand) int {
+func (l TokenDistribution) draw(r *rand.Rand) int {
 	if l.Mean <= 0 {
 		return 1
 	}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -52,65 +52,67 @@
 
 // Organisation is one organisation with its load.
 type Organisation struct {
-	Name     string        `yaml:"name" validate:"required,max=63,name"`
-	Weight   float64       `yaml:"weight" validate:"omitempty,min=0.01,max=1000"`
-	Priority int           `yaml:"priority" validate:"min=0,max=9"`
-	Limits   config.Limits `yaml:"limits"`
-	Requests []Requests    `yaml:"requests" validate:"required,min=1,dive"`
+	Name     string         `yaml:"name" validate:"required,max=63,name"`
+	Weight   float64        `yaml:"weight" validate:"omitempty,min=0.01,max=1000"`
+	Priority int            `yaml:"priority" validate:"min=0,max=9"`
+	Limits   config.Limits  `yaml:"limits"`
+	Requests []RequestGroup `yaml:"requests" validate:"required,min=1,dive"`
 }
 
 // EffectiveWeight returns the organisation's weight, or the default weight if none is set.
 func (o Organisation) EffectiveWeight() float64 { return cmp.Or(o.Weight, config.DefaultWeight) }
 
-// Requests is a group of similar requests that arrive as a Poisson process.
-type Requests struct {
+// RequestGroup is a group of similar requests that arrive as a Poisson process.
+type RequestGroup struct {
 	// Pool or Service names the target of the requests; exactly one of them is set.
 	Pool    string `yaml:"pool" validate:"omitempty,name"`
 	Service string `yaml:"service" validate:"omitempty,name"`
 	// Rate is the mean number of arrivals per second.
 	Rate float64 `yaml:"rate" validate:"required,min=0.001,max=100000"`
-	// Tokens and Prompt are the numbers of generated tokens and of prompt tokens of a request.
-	Tokens Length `yaml:"tokens"`
-	Prompt Length `yaml:"prompt"`
+	// Tokens and PromptTokens are the numbers of generated tokens and of prompt tokens of a
+	// request.
+	Tokens       TokenDistribution `yaml:"tokens"`
+	PromptTokens TokenDistribution `yaml:"prompt"`
 	// Routers is the number of routers that the requests are sent to, chosen at random; 0 means
 	// all. Skew is the fraction of the requests that is sent to the first of them; the rest
 	// is spread evenly over all of them.
 	Routers int     `yaml:"routers" validate:"min=0,max=1000"`
 	Skew    float64 `yaml:"skew" validate:"min=0,max=1"`
-	// Streamed is the fraction of the requests that asks for a streamed answer.
-	Streamed      float64           `yaml:"streamed" validate:"min=0,max=1"`
-	Deadline      settings.Duration `yaml:"deadline" validate:"omitempty,min=10000000"`
-	NotRepeatable bool              `yaml:"not_repeatable"`
-	// HintError is the largest factor by which cost hints are too high or too low; 0 means that
+	// StreamedFraction is the fraction of the requests that asks for a streamed answer.
+	StreamedFraction float64           `yaml:"streamed" validate:"min=0,max=1"`
+	Deadline         settings.Duration `yaml:"deadline" validate:"omitempty,min=10000000"`
+	NotRepeatable    bool              `yaml:"not_repeatable"`
+	// MaxHintFactor is the largest factor by which cost hints are too high or too low; 0 means that
 	// requests have no cost hints.
-	HintError float64 `yaml:"hint_error" validate:"omitempty,min=1,max=100"`
-	Flood     Flood   `yaml:"flood"`
+	MaxHintFactor float64 `yaml:"hint_error" validate:"omitempty,min=1,max=100"`
+	Flood         Flood   `yaml:"flood"`
 }
 
-// Length is a log-normal distribution of token counts, cut off at Max; a Max of 0 means no limit.
-type Length struct {
+// TokenDistribution is a log-normal distribution of token counts, limited to Max; a Max of 0 means
+// no limit.
+type TokenDistribution struct {
 	Mean  float64 `yaml:"mean" validate:"min=0,max=1000000"`
 	Sigma float64 `yaml:"sigma" validate:"min=0,max=4"`
 	Max   int     `yaml:"max" validate:"min=0,max=1000000"`
 }
 
-// Flood multiplies the rate of a group of requests by Factor, starting at the time At, for the
-// duration For. A Factor of 0 means that there is no flood.
+// Flood multiplies the rate of a group of requests by Factor, beginning at Start, for Duration. A
+// Factor of 0 means that there is no flood.
 type Flood struct {
-	At     settings.Duration `yaml:"at" validate:"min=0"`
-	For    settings.Duration `yaml:"for" validate:"min=0"`
-	Factor float64           `yaml:"factor" validate:"min=0,max=1000"`
+	Start    settings.Duration `yaml:"at" validate:"min=0"`
+	Duration settings.Duration `yaml:"for" validate:"min=0"`
+	Factor   float64           `yaml:"factor" validate:"min=0,max=1000"`
 }
 
-// Fault is a fault that is injected at the time At and lasts for the duration For, or until the
-// end if that is 0.
+// Fault is a fault that is injected at Start and lasts for Duration, or until the end of the load if
+// that is 0.
 type Fault struct {
-	At  settings.Duration `yaml:"at" validate:"min=0"`
-	For settings.Duration `yaml:"for" validate:"min=0"`
+	Start    settings.Duration `yaml:"at" validate:"min=0"`
+	Duration settings.Duration `yaml:"for" validate:"min=0"`
 	// Target is "platform", a router such as r1, or an engine such as quoting-1.
 	Target string `yaml:"target" validate:"required"`
-	// Set is put in force at the stand-in if Target is an engine or the platform.
-	Set standin.Faults `yaml:"set"`
+	// StandinFaults is put in force at the stand-in if Target is an engine or the platform.
+	StandinFaults standin.Faults `yaml:"set"`
 	// Action is what happens to a router: stop it, drain it (a planned shutdown), or cut its
 	// connections to all other routers.
 	Action string `yaml:"action" validate:"omitempty,oneof=stop drain cut"`
@@ -162,7 +164,7 @@
 	return problems
 }
 
-func (r Requests) check(field string, pools, services map[string]bool, routers int) []settings.Problem {
+func (r RequestGroup) check(field string, pools, services map[string]bool, routers int) []settings.Problem {
 	var problems []settings.Problem
 	if (r.Pool == "") == (r.Service == "") {
 		problems = append(problems, settings.Problem{Field: field, Text: "exactly one of pool and service must be set"})
@@ -192,7 +194,7 @@
 	for i := range s.Pools {
 		s.Pools[i].Engines *= k
 	}
-	return s.withRequests(func(q *Requests) {
+	return s.withRequests(func(q *RequestGroup) {
 		q.Rate *= float64(k)
 		q.Routers *= k
 	})
@@ -206,7 +208,7 @@
 		s.Pools[i].TokenTime = settings.Duration(float64(s.Pools[i].TokenTime) * factor)
 		s.Pools[i].PrefillRate /= factor
 	}
-	return s.withRequests(func(q *Requests) {
+	return s.withRequests(func(q *RequestGroup) {
 		q.Rate /= factor
 		q.Deadline = settings.Duration(float64(q.Deadline) * factor)
 	})
@@ -227,7 +229,7 @@
 }
 
 // withRequests returns a copy in which change was applied to copies of all groups of requests.
-func (s Scenario) withRequests(change func(q *Requests)) Scenario {
+func (s Scenario) withRequests(change func(q *RequestGroup)) Scenario {
 	return s.withOrganisations(func(o *Organisation) {
 		for i := range o.Requests {
 			change(&o.Requests[i])
