--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -124,8 +124,8 @@
 	g.confirm(now, string(from.ID))
 }
 
-// sourceStore is the source, in log lines, of what the store itself delivered. Otherwise it is the
-// id of the router that sent it.
+// sourceStore is the source, in log lines, of what the store itself delivered. The source of what
+// another router sent is that router's id.
 const sourceStore = "store"
 
 // sourceTimer is the source, in log lines, of changes that take effect because a delay has passed.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -100,8 +100,9 @@
 	catalog  *catalog.Catalog
 	roster   *roster.Roster
 	reporter reporter
-	// zone adds up the reports of this zone, lastSums has the time of the last sum of each other
-	// zone, and directZones has the zones of routers elsewhere whose direct reports are in use.
+	// zone adds up the reports of this zone. lastSums has the time of the last sum of each other
+	// zone. directZones has the zones of those routers in other zones whose direct reports are in
+	// use.
 	zone        zonesum.Sum
 	lastSums    map[string]time.Time
 	directZones map[message.RouterID]string
@@ -289,10 +290,10 @@
 
 // waitIdle waits until there have been no requests for idleWindow, or until end.
 func (g *Gateway) waitIdle(ctx context.Context, end time.Time) {
-	lastBusy, lastBegun := clock.Now(), g.server.TotalRequests()
+	lastBusy, lastTotal := clock.Now(), g.server.TotalRequests()
 	for clock.Since(lastBusy) < idleWindow && clock.Now().Before(end) {
-		if begun := g.server.TotalRequests(); g.server.OpenRequests() > 0 || begun > lastBegun {
-			lastBusy, lastBegun = clock.Now(), begun
+		if total := g.server.TotalRequests(); g.server.OpenRequests() > 0 || total > lastTotal {
+			lastBusy, lastTotal = clock.Now(), total
 		}
 		if !group.SleepUntil(ctx, clock.Now().Add(idleCheckInterval)) {
 			return
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -18,8 +18,8 @@
 	State string `json:"state"`
 	// Targets are the targets that crashed while they ran it.
 	Targets []string `json:"targets"`
-	// Crashes is the number of crashes that still count against it, Trials the number of
-	// crashes when it was sent as a trial after earlier ones.
+	// Crashes is the number of crashes that still count against it. Trials is the number of
+	// crashes, cleared ones included, in which the request had been sent as a trial.
 	Crashes int `json:"crashes"`
 	Trials  int `json:"trials"`
 	// SecondsSinceCrash is the time since the last crash, SecondsSinceSeen the time since the
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -31,8 +31,8 @@
 		r.configure(spec(1))
 		r.serve("t", streamer(10, 10, 60*time.Millisecond))
 		background(func() { r.Drain(context.Background(), limit) })
-		// This is three eighths of the limit, shortly after the router has stopped to accept
-		// all requests. Callers that cache addresses for long have new ones by then.
+		// This is three eighths of the limit, shortly after the router has stopped accepting
+		// every request. Callers that cache addresses for long have new ones by then.
 		time.Sleep(limit * 38 / 100)
 		got := r.post("/stream/x")
 		if got.Err != nil {
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -26,8 +26,8 @@
 	// startupWatchers is the approximate number of routers that call the store regardless of
 	// their rank if all have just started, since those that rank first may start last. With
 	// them, callers are served again 0.5 s after all of 33 routers were killed and 2.0 s after
-	// all of 101 were; without them, after 1.0 s and 2.5 s (from one day at each size, in
-	// steps of 0.5 s).
+	// all of 101 were; without them, after 1.0 s and 2.5 s (one day at each size, sampled every
+	// 0.5 s).
 	startupWatchers = 6
 )
 
@@ -123,13 +123,13 @@
 // OthersReachStore reports whether, as far as known, another running router reaches the store, so
 // that the fleet does not depend on this one.
 func (g *Gateway) OthersReachStore(ctx context.Context) bool {
-	watch := false
+	found := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
 		for r := range g.runningRouters(now) {
-			watch = watch || r.ID != g.self.ID && !r.StoreFailing
+			found = found || r.ID != g.self.ID && !r.StoreFailing
 		}
 	})
-	return watch
+	return found
 }
 
 // runningRouters returns the routers that are running and not leaving, this one included. A
--- a/internal/roster/cold_test.go
+++ b/internal/roster/cold_test.go
@@ -120,8 +120,8 @@
 	})
 }
 
-// TestColdRateIsUsed checks that a cold target gets nearly coldPart in a fleet whose routers all
-// have the same view.
+// TestColdRateIsUsed checks that a cold target gets nearly coldRatePerView in a fleet whose
+// routers all have the same view.
 func TestColdRateIsUsed(t *testing.T) {
 	const length = 10 * time.Second
 	for name, n := range map[string]int{"3 routers": 3, "91": 91} {
--- a/internal/roster/detect.go
+++ b/internal/roster/detect.go
@@ -130,7 +130,7 @@
 	r.store(now, e, n)
 }
 
-// expireSuspects marks suspected routers as gone if they have not refuted it in time.
+// expireSuspects marks suspected routers as gone if they have not refuted the suspicion in time.
 func (r *Roster) expireSuspects(now time.Time) {
 	suspects := r.suspects
 	r.suspects = nil
--- a/internal/roster/known.go
+++ b/internal/roster/known.go
@@ -156,8 +156,8 @@
 }
 
 // countsAsRunning reports whether to treat a router as running: a message from it arrived
-// within isolationTimeout, or its record says that it is not gone, or without a record, it was
-// listed within listedGracePeriod.
+// within isolationTimeout, or its record does not say that it is gone. A listed router without a
+// record counts as running for listedGracePeriod.
 func (r *Roster) countsAsRunning(now time.Time, e *entry) bool {
 	if !e.lastHeard.IsZero() && now.Sub(e.lastHeard) < isolationTimeout {
 		return true
