--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -29,8 +29,8 @@
 	// storeRecoveryTime is how long live targets take to write their entries again after
 	// the store is back, as documented by the platform.
 	storeRecoveryTime = 2 * time.Second
-	// drainReserve is the part of a leaving target's drain period that is kept for a list of
-	// targets and a request in flight.
+	// drainReserve is the part of a leaving target's drain period that is reserved for the
+	// delivery of a list of targets and of a request.
 	drainReserve = 200 * time.Millisecond
 )
 
@@ -256,8 +256,8 @@
 	}
 	if now.Before(c.unstableUntil) && !e.target.Leaving && !e.invalid && e.unconfirmedUntil.IsZero() {
 		// The entry lapses until the end of the unstable period, and not for maxLapse from now:
-		// a target whose entry disappears late in the period has probably left, and was sent
-		// requests for up to 1.85 s more.
+		// a target whose entry disappears late in the period has probably left, and would be
+		// sent requests for up to 1.85 s more.
 		e.lapsedAt, e.lapsedUntil = now, c.unstableUntil
 		return
 	}
--- a/internal/catalog/replica.go
+++ b/internal/catalog/replica.go
@@ -106,14 +106,14 @@
 	if known && o.Revision <= old.Revision {
 		return false
 	}
-	news := !known || !bytes.Equal(old.Value, o.Value)
-	if known && news && r.outdated != nil && r.outdated(old, o) {
-		o.Value, news = old.Value, false
+	isNew := !known || !bytes.Equal(old.Value, o.Value)
+	if known && isNew && r.outdated != nil && r.outdated(old, o) {
+		o.Value, isNew = old.Value, false
 	}
 	r.objects[o.Name] = o
 	delete(r.gone, o.Name)
 	r.changed = max(r.changed, o.Revision)
-	return news
+	return isNew
 }
 
 // remove removes an object that was gone as of a revision.
--- a/internal/quarantine/ends.go
+++ b/internal/quarantine/ends.go
@@ -68,7 +68,8 @@
 }
 
 // implicates reports whether the exit of a target counts against a request that ran there. The
-// outage of many targets does not count against a request that ran at only a few of them.
+// outage of many targets does not count against a request that ran at only a few of them: the
+// same evidence would count against all other requests that ran there.
 func (s exits) implicates(r *entry, target string) bool {
 	at := s[target]
 	if at == nil {
--- a/internal/quarantine/key.go
+++ b/internal/quarantine/key.go
@@ -37,7 +37,7 @@
 // ErrNoKey means that a text is not a key in hexadecimal digits.
 var ErrNoKey = errors.New("no content of a request")
 
-// ParseKey returns the key that String returned; the error is ErrNoKey.
+// ParseKey is the inverse of String. The error wraps ErrNoKey if text is not a key.
 func ParseKey(text string) (Key, error) {
 	b, err := hex.DecodeString(text)
 	if err != nil || len(b) != KeySize {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -54,11 +54,11 @@
 	at           time.Time
 }
 
-// State holds one router's records of such requests. A request is suspected from its first
-// crash on, rejected for a while from the second on, and held back, so that it is sent on
-// trial only, from the third on. It is cleared when it completes at any engine, and expires
-// with time. A State is a plain state machine: it gets the time as an argument, and one
-// goroutine drives it. Use New to create one.
+// State holds one router's records of requests under which targets crashed. A request is
+// suspected from its first crash on, rejected for a while from the second on, and held back, so
+// that it is sent on trial only, from the third on. It is cleared when it completes at any
+// engine, and expires with time. A State is a plain state machine: it gets the time as an
+// argument, and one goroutine drives it. Use New to create one.
 type State struct {
 	entries   map[Key]*entry
 	entriesOf map[string]int
@@ -67,9 +67,9 @@
 	digest    uint64
 	// now is the latest time that was passed in.
 	now time.Time
-	// undecided holds the requests with as many crashes as it takes to reject one, of which
-	// all routers may have to know: if the targets exited at the same time, it may have been
-	// an outage.
+	// undecided holds the requests that have reached minCrashesToReject crashes and for which it
+	// is not yet decided whether all routers need to know of them: if the targets exited at the
+	// same time, an outage may have been the cause.
 	undecided map[Key]bool
 	// deferring is set while other routers decide whether two targets that exited at the same
 	// time implicate a request.
@@ -113,8 +113,8 @@
 	})
 }
 
-// expireBroken removes broken requests and exits that are too old. Before that, it clears
-// requests of the exits that turned out not to implicate them.
+// expireBroken removes broken requests and exits that are too old. Before it removes exits, it
+// clears the crashes that turned out not to implicate their requests.
 func (s *State) expireBroken(now time.Time) {
 	s.now = latest(s.now, now)
 	s.broken = slices.DeleteFunc(s.broken, func(b brokenRequest) bool { return now.Sub(b.at) > brokenTTL })
@@ -124,7 +124,8 @@
 	s.exits.expire(now)
 }
 
-// clearUnrelated clears requests of those of the given exits that do not implicate them.
+// clearUnrelated clears the crashes of requests at the given targets whose exits do not implicate
+// the request.
 func (s *State) clearUnrelated(due []string) {
 	for k, e := range s.entries {
 		for _, target := range due {
@@ -252,9 +253,9 @@
 	}
 }
 
-// Hold holds a request back as if targets had crashed under it, without a trial, until it is
-// cleared or has not arrived for a while. operator names who requested that. It returns false
-// if the request has been held too often.
+// Hold holds a request back as if targets had crashed under it in trials, so that it gets no
+// further trial, until it is cleared or has not arrived for a while. operator names who requested
+// that. It returns false if the request has been held too often.
 func (s *State) Hold(now time.Time, k Key, organisation, operator string) bool {
 	e := s.ensureEntry(now, k, organisation)
 	if len(e.crashes)+minCrashesToHold > MaxCrashes {
