--- a/internal/adapter/engine/engine.go
+++ b/internal/adapter/engine/engine.go
@@ -149,7 +149,7 @@
 }
 
 // unrewindableBody hides the type of a request body so that net/http cannot rewind it. Otherwise
-// net/http retries a request whose response is lost on a reused connection by itself if its
+// net/http by itself retries a request whose response is lost on a reused connection, if the
 // method or an Idempotency-Key header allows that. Only the router may decide about retries.
 type unrewindableBody struct{ io.Reader }
 
--- a/internal/adapter/httpcaller/chat.go
+++ b/internal/adapter/httpcaller/chat.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// awaitDecision waits for the control thread's decision. If the request's context ends, it asks
-// the control thread to cancel the request and still waits for the decision: a slot granted
+// awaitDecision waits for the control loop's decision. If the request's context ends, it asks
+// the control loop to cancel the request and still waits for the decision: a slot granted
 // before the cancellation must be used or released.
 func (x *exchange) awaitDecision() request.Decision {
 	poll := time.NewTicker(callerPollInterval)
--- a/internal/adapter/httpcaller/httpcaller.go
+++ b/internal/adapter/httpcaller/httpcaller.go
@@ -35,7 +35,7 @@
 // AddressLifetime is how long callers may cache the list of router addresses.
 const AddressLifetime = 10 * time.Second
 
-// Core is the part of the router's control thread that the handler uses.
+// Core is the part of the router's control loop that the handler uses.
 type Core interface {
 	// Submit queues a request; the decision is sent on its Decision channel.
 	Submit(t *request.Ticket)
--- a/internal/adapter/httpcaller/sink.go
+++ b/internal/adapter/httpcaller/sink.go
@@ -49,7 +49,8 @@
 	reportedUsage() tokenUsage
 	// finish completes the answer and returns the record of the request.
 	finish() request.Record
-	// abort ends an answer that has started in a way that no client takes for a complete answer.
+	// abort ends an answer that has started, in a way that lets every client see that it is
+	// incomplete.
 	abort(f refusal)
 }
 
--- a/internal/adapter/peer/peer.go
+++ b/internal/adapter/peer/peer.go
@@ -1,7 +1,7 @@
 // Package peer transports messages between routers. Transport sends them in order over one gRPC
 // stream per receiving router, which it opens for the first message and closes when it has been
-// idle. Datagrams sends small messages that may be lost over UDP. Both drop and count a message
-// that cannot be sent; neither retries it.
+// idle. Datagrams sends small messages over UDP, where they may be lost. Both drop and count a
+// message that cannot be sent; neither retries it.
 package peer
 
 import (
--- a/internal/fleetview/fleetview.go
+++ b/internal/fleetview/fleetview.go
@@ -73,7 +73,7 @@
 
 func (w work) subtract(x work) work { return work{w.waiting - x.waiting, w.quota - x.quota} }
 
-// New returns an empty view; r chooses among routers with work or free slots.
+// New returns an empty view. It uses r to choose among routers with work or free slots.
 func New(r *rand.Rand) *View {
 	return &View{random: r, routers: map[message.RouterID]*router{}, pools: map[string]*pool{}}
 }
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -256,8 +256,8 @@
 	return n, nil
 }
 
-// Read implements net.Conn for the HTTP server, which does not see the requests refused here.
-// Connections that end here return io.EOF, since the HTTP server answers other errors with
+// Read implements net.Conn for the HTTP server, which does not see the requests refused here. If
+// Read ends the connection it returns io.EOF, since the HTTP server answers other errors with
 // 400 Bad Request.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.overdue() {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -361,8 +361,8 @@
 	return forward.Result{}
 }
 
-// readBody reads a body of known length whole, and of another at most limit+1 bytes, by which
-// the caller of readBody recognises one that is too large.
+// readBody reads the whole body if its length is known. Otherwise it reads at most limit+1 bytes,
+// so that its caller can recognise a body that is too large.
 func readBody(r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > 0 {
 		body := make([]byte, r.ContentLength)
--- a/internal/ingress/quick.go
+++ b/internal/ingress/quick.go
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// quickHead holds the values of a request's head that refusing it takes.
+// quickHead holds the values of a request's head that are needed to refuse the request.
 type quickHead struct {
 	method, target, host, id, authorization []byte
 	// promptSize and outputHint are the header values that parseSizes parses.
@@ -151,8 +151,8 @@
 )
 
 // parseHead parses the head of a request and returns its size in bytes. It returns false if
-// the head is incomplete, or unusual and so left to the HTTP server: among others without a
-// Host, with a repeated header of those read here, with a Content-Length that is not a positive
+// the head is incomplete, or unusual and so left to the HTTP server: for example without a Host,
+// with a repetition of a header that is read here, with a Content-Length that is not a positive
 // number, with folded lines, or with a Connection, Transfer-Encoding, Expect or Upgrade header.
 func parseHead(b []byte, names *forward.HeaderNames) (h quickHead, size int, ok bool) {
 	end := bytes.Index(b, headEnd)
@@ -173,7 +173,8 @@
 	return h, end + len(headEnd), h.host != nil
 }
 
-// requestLine parses the request line, without its line end.
+// requestLine parses the request line, without its line end. It returns false if the HTTP server
+// is to parse the request.
 func (h *quickHead) requestLine(l []byte) bool {
 	l, ok := bytes.CutSuffix(l, version)
 	if !ok {
--- a/internal/ingress/quick_test.go
+++ b/internal/ingress/quick_test.go
@@ -49,7 +49,7 @@
 func (noSuspects) RecordExit(balance.Target)                      {}
 func (noSuspects) RecordBreak(context.Context, forward.Break) int { return 0 }
 
-// ignoringObserver is an observer and forward.Counters that ignore all calls.
+// ignoringObserver is an Observer and a forward.Counters that ignores all calls.
 type ignoringObserver struct{}
 
 func (ignoringObserver) RequestEnded(forward.Request, forward.Result, time.Duration) {}
