--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -1,14 +1,14 @@
 // Package advice remembers what targets reported about themselves in their answers to this
 // router: that they are leaving, or that they want no requests for a time (a backoff). Records
 // are kept by incarnation and apart from the list of targets: if an entry of the list
-// disappears and returns, or still says something else, what the target itself reported stays
-// valid. Time is passed in as an argument.
+// disappears and returns, or still contradicts the target, what the target itself reported
+// stays valid. Time is passed in as an argument.
 package advice
 
 import "time"
 
-// unlistedTTL is how long the record of an incarnation is kept that is not listed: longer than
-// an entry may be missing before it is listed again.
+// unlistedTTL is how long the record of an unlisted incarnation is kept after its last report:
+// longer than an entry may be missing before it is listed again.
 const unlistedTTL = time.Hour
 
 // MaxBackoff bounds the backoff that a target may ask for, so that a mistaken target is not
@@ -42,7 +42,7 @@
 // Find returns the record of an incarnation, nil if it has reported nothing.
 func (b *Records) Find(name string) *Record { return b.records[name] }
 
-// SetLeaving records that an incarnation is leaving. It returns its record, and whether this
+// SetLeaving records that an incarnation is leaving. It returns the record, and whether this
 // was not known before.
 func (b *Records) SetLeaving(now time.Time, name string) (*Record, bool) {
 	r := b.record(now, name)
@@ -51,8 +51,9 @@
 	return r, changed
 }
 
-// SetBackoff records that an incarnation asked for a backoff, which never shortens one that it
-// asked for before. It returns its record, and whether the target was not backing off already.
+// SetBackoff records that an incarnation asked for a backoff of d, at most MaxBackoff. It never
+// shortens an earlier backoff. It returns the record, and whether the target was not backing
+// off already.
 func (b *Records) SetBackoff(now time.Time, name string, d time.Duration) (*Record, bool) {
 	r := b.record(now, name)
 	changed := !now.Before(r.backoffUntil)
--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -8,9 +8,9 @@
 )
 
 // maxWait is how long a new connection may wait for the CPU before its request is handled. The
-// admitted requests and the control loop wait behind it, and they must be done within half a
-// second: after that, a caller that left must not find its request running. The waits for the
-// connection to be accepted, handled and read add up.
+// admitted requests and the control loop wait behind it, and half a second after a caller has
+// left its request must no longer run. The waits for a connection to be accepted, handled and
+// read add up.
 const maxWait = 65 * time.Millisecond
 
 // Queue holds the new connections whose requests wait for the CPU. The zero value is empty. It
--- a/internal/balance/advice.go
+++ b/internal/balance/advice.go
@@ -56,20 +56,20 @@
 func (s *State) ReportedLeaving(t Target) bool { return s.advice.Find(t.Incarnation()).Leaving() }
 
 const (
-	// backoffJitterPercent is the most by which a requested backoff is extended: routers that
-	// were rejected together must not retry together.
+	// backoffJitterPercent bounds the random extension of a backoff, in percent of it: routers
+	// that were rejected together must not retry together.
 	backoffJitterPercent = 10
-	// probeTimeout is how long a probe, the first request after a backoff, keeps others away.
-	// A target that does not answer within it may still take them.
+	// probeTimeout is how long a probe, the first request after a backoff, keeps other requests
+	// away from the target. A target that has not answered by then may still accept them.
 	probeTimeout = 500 * time.Millisecond
 )
 
 // backingOff reports whether the target's backoff is still running.
 func (t *target) backingOff(now time.Time) bool { return now.Before(t.reported.BackoffUntil()) }
 
-// backingOffOrProbed reports whether a target backs off, or has been sent a probe since and
-// not answered it. A target that is still full would otherwise reject all requests that waited
-// for it.
+// backingOffOrProbed reports whether a target is backing off, or its backoff has ended and it
+// has not answered the probe yet. Otherwise a target that is still full would reject all the
+// requests that waited for it.
 func (t *target) backingOffOrProbed(now time.Time) bool {
 	return t.backingOff(now) || t.probe != nil && now.Sub(t.probe.sentAt) < probeTimeout
 }
@@ -82,8 +82,9 @@
 	}
 }
 
-// backoffEnd returns when the first of a service's targets ends its backoff, if all those that
-// a request may be sent to back off. Targets whose incarnation is in except are ignored.
+// backoffEnd returns when the first of a service's backoffs ends, if all the targets that a
+// request may be sent to are backing off, else false. Targets whose incarnation is in except
+// are ignored.
 func (s *State) backoffEnd(now time.Time, service string, except []string) (time.Time, bool) {
 	var first time.Time
 	for _, to := range s.services[service] {
@@ -100,8 +101,8 @@
 	return first, !first.IsZero()
 }
 
-// BackoffLeft returns when to retry if all targets of a service back off, with jitter so that
-// callers do not retry together; false if some target does not back off.
+// BackoffLeft returns how long to wait before a retry if all targets of a service are backing
+// off, with jitter so that callers do not retry together; false if some target is not.
 func (s *State) BackoffLeft(now time.Time, service string) (time.Duration, bool) {
 	end, ok := s.backoffEnd(now, service, nil)
 	if !ok {
@@ -112,7 +113,7 @@
 }
 
 // SentAgainstAdvice counts the requests that were sent in spite of what targets reported: to
-// targets that are leaving, and to ones that back off.
+// targets that are leaving, and to ones that are backing off.
 type SentAgainstAdvice struct {
 	Leaving, BackingOff int64
 }
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -38,8 +38,9 @@
 	maxQueueFactor = 4
 	// serviceTimeWeight is the weight of the newest sample in the average service time.
 	serviceTimeWeight = 0.05
-	// A request waits for room for its goal divided by goalWaitDivisor and is then refused: a
-	// caller refused so early can still be served in time when it retries.
+	// goalWaitDivisor divides a request's goal; the result is how long the request waits for a
+	// target with room before it is refused. A caller refused so early can still be served in
+	// time when it retries.
 	goalWaitDivisor = 5
 	// A queue of at most eagerDispatchLength requests is searched at each event, a longer one
 	// once in dispatchInterval and until maxFailedPlacements requests found no room. This
@@ -230,9 +231,9 @@
 // neither as a new request nor as a retry.
 func (s *State) Requeue(now time.Time, t *Ticket) { s.arrive(now, t) }
 
-// MaySwitch reports whether a request may be moved from its target to
-// another one: the target has sent nothing for the time silent, the retry budget allows it,
-// and there is another usable target.
+// MaySwitch reports whether a request may be moved from its target to another one: the target
+// has sent nothing for at least silent, the retry budget allows it, and there is another usable
+// target.
 func (s *State) MaySwitch(now time.Time, t *Ticket, silent time.Duration) bool {
 	if t.target == nil || now.Sub(t.Arrived)-time.Duration(t.LastReceived.Load()) < silent {
 		return false
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -107,8 +107,8 @@
 	// home is the engine that rendezvous hashing assigns the prompt to. All routers, or all of
 	// an availability zone, send the prompt there if they can.
 	home *target
-	// best is the engine known to cache most of the prompt, and missing the number of tokens
-	// that it does not cache.
+	// best is the engine known to cache most of the prompt, and missing the number of the
+	// prompt's tokens that it is not known to cache.
 	best    *target
 	missing int
 }
@@ -189,10 +189,10 @@
 	return l.MemoryTokens+t.unsharedTokens() <= service.Engine.CacheTokens*memoryPercent/100
 }
 
-// usable returns the targets of t's service that it may be sent to. Targets that are leaving,
-// back off or were tried before are excluded, and so are cold ones that got this router's part
-// of what they bear. Suspected targets are returned only if there are no others. The list is
-// valid until the next call.
+// usable returns the targets of t's service that t may be sent to. It excludes targets that are
+// closed, backing off or were tried before, and cold ones that have been sent this router's
+// part of the requests that they can handle. Suspected targets are returned only if there are
+// no others. The list is valid until the next call.
 func (s *State) usable(now time.Time, t *Ticket) []*target {
 	good, suspect := s.good[:0], s.suspect[:0]
 	for _, c := range s.services[t.Service] {
--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -8,13 +8,13 @@
 
 // SetColdAllowance sets the function that returns how many requests this router may send to a
 // cold target in a second; nil allows none.
-func (s *State) SetColdAllowance(part func(now time.Time, target string, r coldstart.Rate) int) {
-	s.coldAllowance = part
+func (s *State) SetColdAllowance(allowance func(now time.Time, target string, r coldstart.Rate) int) {
+	s.coldAllowance = allowance
 }
 
-// coldLimited reports whether a target is cold and has already got this router's part of the
-// requests that it bears. A cold target that gets more crashes, and all requests running there
-// are lost.
+// coldLimited reports whether a target is cold and has already been sent this router's part of
+// the requests that it can handle. Further requests would crash the target, and all those
+// running there would be lost.
 func (s *State) coldLimited(now time.Time, t *target) bool {
 	if !now.Before(t.coldUntil) {
 		return false
@@ -23,19 +23,19 @@
 	if rate.PerSecond <= 0 {
 		return false
 	}
-	part := 0
+	allowed := 0
 	if s.coldAllowance != nil {
-		part = s.coldAllowance(now, t.ID, rate)
+		allowed = s.coldAllowance(now, t.ID, rate)
 	}
-	if t.recentSends.Count(now) < part {
+	if t.recentSends.Count(now) < allowed {
 		return false
 	}
 	s.coldSkips++
 	return true
 }
 
-// coldRate returns the rate of requests that a cold target of a service bears, and how long a
-// target stays cold after its start.
+// coldRate returns the rate of requests that a cold target of a service can handle, and how
+// long a target stays cold after its start.
 func (s *State) coldRate(service string) (coldstart.Rate, time.Duration) {
 	if s.table == nil {
 		return coldstart.Rate{}, 0
@@ -47,17 +47,17 @@
 	return coldstart.Rate{PerSecond: d.ColdRate, MaxPerSecond: d.ColdRate*max(s.limits.ColdOver, 1) + max(s.limits.ColdSlack, 0)}, d.ColdTime
 }
 
-// extendCold updates until when a target is cold. This is as long as its entry says; a target
-// whose zone is no longer drained also counts as just started, since it may have turned cold
-// meanwhile and its entry shows this up to a heartbeat late.
+// extendCold moves the end of a target's cold period to the time that its entry gives, if that
+// is later. A target whose zone is no longer drained is also treated as just started: it may
+// have turned cold during the drain, and its entry shows this up to a heartbeat late.
 func (s *State) extendCold(now time.Time, t *target, before Target) {
 	if t.ColdUntil.After(t.coldUntil) {
 		t.coldUntil = t.ColdUntil
 	}
 	if before.Drained && !t.Drained {
 		_, d := s.coldRate(t.Service)
-		if back := now.Add(d); back.After(t.coldUntil) {
-			t.coldUntil = back
+		if until := now.Add(d); until.After(t.coldUntil) {
+			t.coldUntil = until
 		}
 	}
 }
--- a/internal/balance/loop.go
+++ b/internal/balance/loop.go
@@ -13,8 +13,8 @@
 const (
 	// eventBuffer is the number of events that may be queued for the control goroutine.
 	eventBuffer = 1024
-	// tickInterval is the interval of Tick, and thus the most by which requests that waited
-	// long enough are refused late.
+	// tickInterval is the interval between calls of Tick, and so the longest time by which a
+	// waiting request is refused too late.
 	tickInterval = 20 * time.Millisecond
 	// meterTicks is the number of ticks between two measurements of processor use. If these
 	// ticks take longer than lateTicks tick intervals, the process itself waits for the
--- a/internal/balance/peers.go
+++ b/internal/balance/peers.go
@@ -20,7 +20,7 @@
 	// of a core. Beyond, only the longest prompts are announced.
 	maxNotifyRate = 250
 	// maxNotifyThreshold is the number of tokens from which a request is still announced once
-	// the router's part of that rate is used up.
+	// the router's part of maxNotifyRate is used up.
 	maxNotifyThreshold = 40_000
 )
 
@@ -85,8 +85,8 @@
 	s.peers.AddLoad(now, name, target, l)
 }
 
-// Report returns the report to send to the other routers. Of the cached prefixes it has only
-// those that no earlier report had.
+// Report returns the report to send to the other routers. Of the cached prompt parts it
+// contains only those that are due to be announced, not those in recent reports.
 func (s *State) Report(now time.Time) view.Report {
 	r := view.Report{Loads: map[string]view.Load{}, Usage: map[string]view.Usage{}, SharedParts: map[string][]string{}}
 	for _, t := range s.targets {
--- a/internal/balance/queue.go
+++ b/internal/balance/queue.go
@@ -30,8 +30,8 @@
 }
 
 // SetCPUUtilisation records the fraction of its cores that the router used lately.
-func (s *State) SetCPUUtilisation(now time.Time, part, cores float64) {
-	s.throttle.SetCPUUtilisation(now, part, cores, s.shareStatusAt(now))
+func (s *State) SetCPUUtilisation(now time.Time, utilisation, cores float64) {
+	s.throttle.SetCPUUtilisation(now, utilisation, cores, s.shareStatusAt(now))
 }
 
 // ThrottleNotices returns which organisations the router throttled since the last call.
@@ -50,13 +50,12 @@
 }
 
 const (
-	// leadPercent is by how much more than an organisation with requests waiting here another
-	// one may have been served before its own requests must wait too.
+	// leadPercent is how much more, in percent, an organisation may have been served than one
+	// with requests waiting here. Beyond that its own requests must wait too.
 	leadPercent = 15
-	// remoteLeadFactor is the same limit, as a factor, towards organisations with requests
+	// remoteLeadFactor is the same limit, as a factor, relative to organisations with requests
 	// waiting at other routers. Reports on those are old: with a small limit all routers hold
-	// back requests in favour of one another while engines are idle. A factor of 2 would be
-	// unfair.
+	// back requests in favour of one another while engines are idle. A factor of 2 is unfair.
 	remoteLeadFactor = 1.4
 )
 
@@ -66,10 +65,10 @@
 	return t.Engine && !t.Resumes && s.exceedsLead(now, t.Organisation, s.minServedWaiting(now))
 }
 
-// exceedsLead reports whether an organisation must let others go first, where least is the
-// least that any organisation with waiting requests was served. An organisation within its
-// share takes nothing from others and lets nobody go first: in a large fleet some small
-// organisation always has requests waiting somewhere, and all others would wait for it.
+// exceedsLead reports whether an organisation must let others go first; least is the least that
+// any organisation with waiting requests was served. An organisation within its share takes
+// nothing from others and need not wait for them: in a large fleet some small organisation
+// always has requests waiting somewhere, and all others would wait for it.
 func (s *State) exceedsLead(now time.Time, organisation string, least float64) bool {
 	return s.overShare(now, organisation) && s.served(now, organisation)*100 > least*(100+leadPercent)
 }
@@ -187,8 +186,8 @@
 		}
 		return a.Arrived.Compare(b.Arrived)
 	})
-	// The queue is sorted by what organisations were served, so the first entry was served
-	// least here.
+	// The queue is sorted now, the least served organisation first. least also takes requests
+	// into account that wait at other routers.
 	least := s.minServedWaiting(now)
 	waiting := s.queue[:0]
 	failed := 0
@@ -230,8 +229,8 @@
 	retryAfterDrained = 2 * time.Second
 )
 
-// retryAfter returns when a refused caller should retry, with jitter so that refused callers
-// do not retry together.
+// retryAfter returns how long a refused caller should wait before it retries, with jitter so
+// that refused callers do not retry together.
 func (s *State) retryAfter(now time.Time, t *Ticket) time.Duration {
 	if d, ok := s.BackoffLeft(now, t.Service); ok {
 		return d
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -11,10 +11,10 @@
 	// this part of the shortest goal of the service's routes. Later requests must still be
 	// able to start in time.
 	backlogPercent = 35
-	// shareTolerance is the ratio to its share up to which an organisation counts as within
-	// it. Shares are counted over some seconds, the last half of which is known late, and
-	// requests come in bursts. Beyond, the backlog that the organisation may fill shrinks in
-	// proportion, to leave room to others.
+	// shareTolerance is how many times its share an organisation may be served and still count
+	// as within it. Shares are counted over some seconds, the last half of which is known late,
+	// and requests come in bursts. Beyond, the backlog that the organisation may fill shrinks
+	// in proportion, to leave room to others.
 	shareTolerance = 1.5
 	// minRoomPercent is the part of the allowed backlog that stays open to every organisation.
 	minRoomPercent = 25
--- a/internal/balance/ticket.go
+++ b/internal/balance/ticket.go
@@ -38,8 +38,8 @@
 	// Pieces is the number of pieces in which the answer was forwarded. The request's own
 	// goroutine sets it.
 	Pieces atomic.Int64
-	// Decision receives one decision for each call of Arrive or Requeue, and of Retry that
-	// returned true. Its capacity must be one.
+	// Decision receives one decision for each call of Arrive or Requeue, and for each call of
+	// Retry that returned true. Its capacity must be one.
 	Decision chan Decision
 
 	// lost is called if the process that runs the request turns out to have restarted.
@@ -90,8 +90,8 @@
 	OverShare Reason = "over-share"
 	// NoTarget means that no target of the service takes requests.
 	NoTarget Reason = "no-target"
-	// Drained means that no target of the service takes requests and some stand in drained
-	// availability zones.
+	// Drained means that no target of the service takes requests and some of them are in
+	// drained availability zones.
 	Drained Reason = "zones-drained"
 	// BackingOff means that all targets that could take the request are backing off.
 	BackingOff Reason = "targets-resting"
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -22,8 +22,8 @@
 	// maxViews is the number of different views of the fleet whose senders may send at the
 	// same time.
 	maxViews = 3
-	// maxSenders is the number of routers that may send to a cold target: with one, a target
-	// would get nothing from when that router fails until the others notice.
+	// maxSenders is the number of routers that may send to a cold target: if there were only
+	// one and it failed, the target would get nothing until the others noticed.
 	maxSenders = 3
 	// windowLength is the time window, by a router's own clock, in which its send limit
 	// applies: a second, and a margin for a fast clock.
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -17,8 +17,8 @@
 // answerTimeout is how long an engine that does not answer still gets requests.
 const answerTimeout = 3 * time.Second
 
-// takeoverWindow is how long a new owner counts the requests that an engine reports beyond
-// those that routers have reported to the owner.
+// takeoverWindow is how long a new owner of an engine also counts those requests in the
+// engine's load reports that no router has reported to the owner yet.
 const takeoverWindow = 2 * time.Second
 
 // Allocation is a slot in use.
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -16,7 +16,7 @@
 	// engines evict the least recently used parts when they need space, and a part is used
 	// again within seconds or rarely.
 	cachedTTL = 15 * time.Second
-	// announceInterval is the time after which a part that is still in use is announced to
+	// announceInterval is the time after which a part that is still being used is announced to
 	// other routers again: a third of cachedTTL.
 	announceInterval = 5 * time.Second
 )
--- a/internal/throttle/control.go
+++ b/internal/throttle/control.go
@@ -163,7 +163,7 @@
 // SetCPUUtilisation records the fraction of its cores that the router recently used and
 // updates the coalescing level. Above maxCPUUtilisation it lowers the CPU allowance of the
 // organisation that uses most of the CPU time; otherwise it raises all allowances.
-func (c *Controller) SetCPUUtilisation(now time.Time, utilisation, cores float64, account func(organisation string) ShareStatus) {
+func (c *Controller) SetCPUUtilisation(now time.Time, utilisation, cores float64, shareStatus func(organisation string) ShareStatus) {
 	c.cpuUtilisation = utilisation
 	c.coalesceLevel = nextCoalesceLevel(c.coalesceLevel, utilisation)
 	total := 0.0
@@ -176,7 +176,7 @@
 		case utilisation <= maxCPUUtilisation:
 			f.cpuAllowance = f.cpuAllowance*factor + tick*allowanceStep
 		case f.cpuTimeAverage > total*dominantCPUFraction:
-			f.cpuAllowance = max(min(f.cpuAllowance, f.cpuTimeAverage)*factor, tick*account(name).cpuFloor())
+			f.cpuAllowance = max(min(f.cpuAllowance, f.cpuTimeAverage)*factor, tick*shareStatus(name).cpuFloor())
 			f.ensureGate(now)
 			f.gate.cpuBound.Store(true)
 		}
@@ -192,8 +192,8 @@
 }
 
 // cpuFloor returns the fraction of the cores that an organisation may use however busy they
-// are. It is larger the further the organisation is below its fair share; above that, whatever
-// it is admitted for is taken from other organisations.
+// are. It is larger the further the organisation is below its fair share: what an organisation
+// above its share is served is taken from others.
 func (a ShareStatus) cpuFloor() float64 {
 	deficit := 1.0
 	if a.FairShare > 0 {
@@ -204,8 +204,8 @@
 
 // Gates updates the gates and returns those that apply until the next tick, by organisation;
 // nil if there are none. waiting holds the number of each organisation's requests that wait
-// for an engine; account is called for organisations for which a notice is recorded.
-func (c *Controller) Gates(now time.Time, waiting map[string]int, account func(organisation string) ShareStatus) map[string]*Gate {
+// for an engine; shareStatus is called for organisations for which a notice is recorded.
+func (c *Controller) Gates(now time.Time, waiting map[string]int, shareStatus func(organisation string) ShareStatus) map[string]*Gate {
 	var out map[string]*Gate
 	for name, f := range c.flows {
 		f.updateAverages()
@@ -213,7 +213,7 @@
 			f.ensureGate(now)
 		}
 		if f.gate != nil {
-			c.updateGate(now, name, f, waiting[name], account)
+			c.updateGate(now, name, f, waiting[name], shareStatus)
 		}
 		if f.gate == nil {
 			if f.sentAverage < negligibleSentAverage {
@@ -231,7 +231,7 @@
 
 // updateGate sets how much a gate admits until the next tick, or removes it, and records a
 // notice when throttling begins, ends, or has gone on for noticeInterval.
-func (c *Controller) updateGate(now time.Time, organisation string, f *flow, waiting int, account func(string) ShareStatus) {
+func (c *Controller) updateGate(now time.Time, organisation string, f *flow, waiting int, shareStatus func(string) ShareStatus) {
 	began := f.throttledSince.IsZero()
 	if began {
 		f.throttledSince = now
@@ -245,7 +245,7 @@
 	f.lastNotice = now
 	c.addNotice(Notice{
 		Organisation: organisation, Began: began, Ended: ended, CPUUtilisation: c.cpuUtilisation, CoalesceLevel: c.coalesceLevel, CoreLimit: f.coreLimit(c.tick),
-		Waiting: waiting, ShareStatus: account(organisation), RejectedQueueFull: f.rejectedQueueFull, RejectedBusy: f.rejectedBusy, Duration: now.Sub(f.throttledSince),
+		Waiting: waiting, ShareStatus: shareStatus(organisation), RejectedQueueFull: f.rejectedQueueFull, RejectedBusy: f.rejectedBusy, Duration: now.Sub(f.throttledSince),
 	})
 	if ended {
 		f.throttledSince, f.rejectedQueueFull, f.rejectedBusy = time.Time{}, 0, 0
--- a/internal/throttle/gate.go
+++ b/internal/throttle/gate.go
@@ -20,8 +20,8 @@
 	RouterBusy Reason = "router-busy"
 )
 
-// Gate limits which requests to engines a router reads of an organisation that sends many
-// times what the engines or the router's CPU can handle. All others are rejected from their
+// Gate limits which requests to engines a router reads from an organisation that sends many
+// times what the engines or the router's CPU can handle. The others are rejected from their
 // first bytes: a box with 0.2 cores that read and queued 900 requests a second to send 30 of
 // them was unreachable for the other routers for seconds, and sent none.
 type Gate struct {
@@ -32,8 +32,8 @@
 	rejectedQueueFull, rejectedBusy atomic.Int64
 
 	// cpuBound is set while CPU time limits admission. Requests above cutGrade are then all
-	// admitted; those of cutGrade and those below it are admitted while cutTimeLeft and
-	// belowTimeLeft, in nanoseconds of CPU time, are positive.
+	// admitted; those of cutGrade are admitted while cutTimeLeft is positive, and those below
+	// it while belowTimeLeft is, both in nanoseconds of CPU time.
 	cpuBound                             atomic.Bool
 	cutGrade, cutTimeLeft, belowTimeLeft atomic.Int64
 	// piecesPerToken holds the float64 bits of the number of pieces in which a token of an
