--- a/internal/control/dispatch.go
+++ b/internal/control/dispatch.go
@@ -215,7 +215,7 @@
 }
 
 // grantSlot grants a slot of an engine that this router owns to a router at which
-// requests of an organisation wait. Each call counts one of them as taken, also
+// requests of an organisation wait. Each call counts one of them as taken, even
 // if that router turns out to be unknown, so that the loop in dispatch ends.
 func (s *State) grantSlot(p *pool, organisation string, now time.Time) {
 	holder, ok := s.view.PickHolder(p.name, organisation)
@@ -279,7 +279,7 @@
 
 // popForGrant takes the first waiting request of the organisation for which a slot
 // was granted, or else of one that this router's policy picks. Only the latter is
-// charged here, by the amount charged: the owner charges the former.
+// charged here; charged is the amount. The owner charges the former.
 func (s *State) popForGrant(p *pool, organisation string, now time.Time) (t *request.Ticket, charged float64, ok bool) {
 	if !s.atRunningLimit(p, organisation) {
 		if t, ok = s.popRunnable(p, organisation, now); ok {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// audit asks the holders of slots that have been in use for long whether they
-// still hold them, as the message that ends the use may have been lost.
+// audit asks the holders of slots that have been in use for a long time whether
+// they still hold them, as the message that ends the use may have been lost.
 func (s *State) audit(now time.Time) {
 	slots := map[message.RouterID][]uint64{}
 	for _, u := range s.slots.DueForAudit(s.members.Self().ID, now) {
@@ -112,8 +112,8 @@
 	}
 }
 
-// Tick does the periodic work, among it sending this router's report. It is
-// called once each report period.
+// Tick does the periodic work, which includes sending this router's report. It
+// is called once each report period.
 func (s *State) Tick(now time.Time) {
 	s.applyDelayed(now)
 	s.updateOwners(now)
@@ -230,8 +230,8 @@
 	if owner != granter.ID {
 		return false
 	}
-	now, ok := s.members.Lookup(owner)
-	return !ok || now.Incarnation == granter.Incarnation
+	current, ok := s.members.Lookup(owner)
+	return !ok || current.Incarnation == granter.Incarnation
 }
 
 func (s *State) sendForeign(key foreignKey, n int, now time.Time) {
--- a/internal/forward/advice.go
+++ b/internal/forward/advice.go
@@ -20,8 +20,8 @@
 	// AdviceLeaving means that the target is leaving: it shuts down in a planned way.
 	AdviceLeaving Advice = "leaving"
 	// AdviceBackoff means that the target asked this router to back off (503 with
-	// Retry-After). AdviceRestBounded means that the requested backoff exceeded
-	// advice.RestMost and was capped.
+	// Retry-After). AdviceBackoffCapped means that the requested backoff exceeded
+	// advice.MaxBackoff and was capped.
 	AdviceBackoff       Advice = "rest"
 	AdviceBackoffCapped Advice = "rest-bounded"
 )
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -33,7 +33,7 @@
 // Counters counts retries by reason, and what targets report about themselves.
 type Counters interface {
 	CountRetry(r Reason)
-	// CountAdvice counts a report of a target that changes what was known about it.
+	// CountAdvice counts a target's report about itself that changes what was known.
 	CountAdvice(a Advice)
 }
 
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -134,7 +134,8 @@
 const (
 	// ReasonQueueFull means that the queue was full, or that no target had room in time.
 	ReasonQueueFull Reason = Reason(balance.Full)
-	// ReasonTargetsBackingOff means that all targets that could take the request back off.
+	// ReasonTargetsBackingOff means that all targets that could take the request are
+	// backing off.
 	ReasonTargetsBackingOff Reason = Reason(balance.BackingOff)
 	// ReasonNoTarget means that no target of the service takes requests.
 	ReasonNoTarget Reason = Reason(balance.NoTarget)
--- a/internal/forward/suspects.go
+++ b/internal/forward/suspects.go
@@ -73,8 +73,8 @@
 	return true
 }
 
-// trialRetryAfter is the Retry-After of a quarantined request that may be sent on trial, but not
-// now or not by this router.
+// trialRetryAfter is the Retry-After of a quarantined request that may be sent on trial, but
+// not now or not by this router.
 const trialRetryAfter = 5 * time.Second
 
 // maySendSuspect reports whether the request may be sent although targets have crashed while
@@ -92,18 +92,18 @@
 // reportBreak reports a broken-off answer or a silent target to the suspects. It returns true if
 // so many targets have exited while running the request that the router must not retry it.
 func (x *inflight) reportBreak(ctx context.Context, to balance.Target, f *failure) bool {
-	ended := false
+	exited := false
 	switch f.reason {
 	case ReasonRestarted:
-		ended = true
+		exited = true
 	case ReasonBroken:
-		ended = x.sender.ProcessExited(ctx, to.Address, to.Incarnation())
+		exited = x.sender.ProcessExited(ctx, to.Address, to.Incarnation())
 	case ReasonSilent:
 		// The process may have exited; that is found out later.
 	default:
 		return false
 	}
-	crashes := x.suspects.RecordBreak(ctx, Break{Key: x.key(), Organisation: x.Organisation, Target: to, TargetExited: ended, OnTrial: x.onTrial})
+	crashes := x.suspects.RecordBreak(ctx, Break{Key: x.key(), Organisation: x.Organisation, Target: to, TargetExited: exited, OnTrial: x.onTrial})
 	return !quarantine.MayRetry(crashes)
 }
 
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -137,7 +137,8 @@
 }
 
 // startSilenceTimer returns a timer that cancels the exchange when the target is silent for
-// too long and another one may take over. If no further send is allowed, it does nothing.
+// too long and another one may take over. If no further send is allowed, the timer does
+// nothing.
 func (x *inflight) startSilenceTimer(cancel context.CancelCauseFunc) *time.Timer {
 	if !x.Route.Repeatable() || x.result.Sends+1 >= x.Route.MaxAttempts {
 		return time.AfterFunc(clock.Until(x.deadline), func() {})
--- a/internal/httptarget/httptarget.go
+++ b/internal/httptarget/httptarget.go
@@ -176,13 +176,14 @@
 // which takes some milliseconds between zones.
 const probeTimeout = 100 * time.Millisecond
 
-// ProcessExited reports whether the process of a target has exited, which it takes a refused
-// connection to mean. Concurrent calls for the same process share one probe, as when a
-// target breaks off many answers at once. A connection that succeeds is kept for reuse.
+// ProcessExited reports whether the process of a target has exited: it probes the target with a
+// connection, and a refused one counts as an exit. Concurrent calls for the same process, as
+// when a target breaks off many answers at once, share one probe. A connection that is made is
+// kept for reuse.
 func (t *Transport) ProcessExited(ctx context.Context, address, instance string) bool {
 	e := endpoint{address, instance}
-	ended, _, _ := t.probes.Do(address+" "+instance, func() (any, error) { return t.probe(ctx, e), nil })
-	return ended.(bool)
+	exited, _, _ := t.probes.Do(address+" "+instance, func() (any, error) { return t.probe(ctx, e), nil })
+	return exited.(bool)
 }
 
 func (t *Transport) probe(ctx context.Context, e endpoint) bool {
