--- a/internal/load/fleet.go
+++ b/internal/load/fleet.go
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// startRouters starts the routers. The omniscient policy is a single router, which knows the whole
-// load, under the policy "local".
+// startRouters starts the routers. For report.Omniscient it starts a single router, which knows the
+// whole load, with the policy "local".
 func (f *fleet) startRouters(s *scenario.Scenario, o Options, policy string) error {
 	n := s.Routers
 	if policy == report.Omniscient {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -19,7 +19,7 @@
 	RunSpecs(t, "load")
 }
 
-func read(file string) scenario.Scenario {
+func readScenario(file string) scenario.Scenario {
 	data, err := os.ReadFile(file)
 	Expect(err).NotTo(HaveOccurred())
 	s, err := settings.Decode[scenario.Scenario](file, data)
@@ -29,7 +29,7 @@
 
 var _ = Describe("Run", func() {
 	It("loses no request, runs none twice and gives no wrong answer under any policy", func() {
-		s := read("../cli/demo.yaml")
+		s := readScenario("../cli/demo.yaml")
 		s.Duration = settings.Duration(2 * time.Second)
 		got, err := load.Run(context.Background(), &s, load.Options{
 			Policies: []string{"omniscient", "fifo", "local", "steal", "greedy", "share"}, Seed: 1,
@@ -44,7 +44,7 @@
 	})
 
 	It("runs no request twice and gives no wrong answer when a router stops, another is cut off, an engine is leaving and the platform is unavailable", func() {
-		s := read("../cli/demo.yaml")
+		s := readScenario("../cli/demo.yaml")
 		s.Duration = settings.Duration(4 * time.Second)
 		second := settings.Duration(time.Second)
 		s.Faults = []scenario.Fault{
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -24,7 +24,8 @@
 
 // Options are the parameters of a load test.
 type Options struct {
-	// Policies are the fair policies to run the scenario under; "default" leaves each pool its own.
+	// Policies are the fair policies to run the scenario under. "default" leaves each pool its
+	// own, and report.Omniscient is a single router that knows the whole load.
 	Policies []string
 	Seed     uint64
 	// ViewDelay delays the use of other routers' reports.
@@ -62,6 +63,8 @@
 	tally *tally
 }
 
+// runPolicy runs the scenario on a new fleet under one policy. The load ends after the scenario's
+// duration; requests that are still open are then cancelled.
 func runPolicy(ctx context.Context, s *scenario.Scenario, o Options, policy string, arrivals []scenario.Arrival) (report.PolicyResult, error) {
 	l := ledger.New(s)
 	routerPolicy := policy
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -16,7 +16,7 @@
 	RunSpecs(t, "scenario")
 }
 
-func read(file string) scenario.Scenario {
+func readScenario(file string) scenario.Scenario {
 	data, err := os.ReadFile(file)
 	Expect(err).NotTo(HaveOccurred())
 	s, err := settings.Decode[scenario.Scenario](file, data)
@@ -27,7 +27,7 @@
 var _ = Describe("Scenarios", func() {
 	for _, file := range []string{"../cli/demo.yaml", "../../scenarios/karaganda.yaml", "../../scenarios/lima.yaml"} {
 		It("can be read and draws the same load from the same seed: "+file, func() {
-			s := read(file)
+			s := readScenario(file)
 			Expect(s.Plan(1)).To(Equal(s.Plan(1)))
 			Expect(s.Plan(1)).NotTo(Equal(s.Plan(2)))
 		})
@@ -55,7 +55,7 @@
 
 var _ = Describe("A scaled, stretched and skewed scenario", func() {
 	It("does not change the original", func() {
-		s := read("../../scenarios/lima.yaml")
+		s := readScenario("../../scenarios/lima.yaml")
 		before := s.Plan(1)
 		big := s.Scaled(8).Stretched(4).Skewed()
 		Expect(big.Routers).To(Equal(8 * s.Routers))
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -25,8 +25,8 @@
 	// Served is called with the cost served for a request since the last call, in units of one
 	// generated token.
 	Served(tag string, cost float64)
-	// Ended is called when a request leaves its slot; whole is set if it ran to completion.
-	Ended(tag string, whole bool)
+	// Ended is called when a request leaves its slot; completed is set if it ran to completion.
+	Ended(tag string, completed bool)
 	// Resumed is called instead of Started when a request runs to continue a broken answer.
 	Resumed(tag string)
 }
@@ -132,8 +132,8 @@
 	}
 }
 
-// load returns the engine's load. If load reports are late, it is the load of that time ago, as far
-// as it was recorded: each call records one.
+// load returns the engine's load. If LoadAgeMS is set, it returns the latest load recorded at least
+// that long ago, or else the oldest one; each call records the current load.
 func (e *Engine) load() port.EngineLoad {
 	f := e.faults()
 	e.mu.Lock()
@@ -162,8 +162,8 @@
 
 // Prompt returns the content of a message that makes a stand-in engine process the given number of
 // prompt tokens and then generate the given number of tokens, each of which contains tag.
-func Prompt(tag string, prompt, tokens int) string {
-	return fmt.Sprintf("tag=%s prompt=%d tokens=%d", tag, prompt, tokens)
+func Prompt(tag string, promptTokens, tokens int) string {
+	return fmt.Sprintf("tag=%s prompt=%d tokens=%d", tag, promptTokens, tokens)
 }
 
 // Token returns the i-th token that a stand-in engine generates for a tag.
@@ -267,9 +267,9 @@
 // generate processes a job's prompt and writes its tokens, beginning with the token from, at the
 // engine's rate. A resumed job skips the processing of the prompt.
 func (e *Engine) generate(w http.ResponseWriter, j job, id string, from int, resumed bool) {
-	whole := false
+	completed := false
 	e.notifyStarted(j, resumed)
-	defer func() { e.notifyEnded(j, whole) }()
+	defer func() { e.notifyEnded(j, completed) }()
 	w.Header().Set("Content-Type", "text/event-stream")
 	if !resumed {
 		if e.options.PrefillRate > 0 {
@@ -297,7 +297,7 @@
 		flush(w)
 	}
 	_, _ = io.WriteString(w, usageEvent(j))
-	whole = true
+	completed = true
 }
 
 // tokenEvent returns the server-sent event for one token.
@@ -346,8 +346,8 @@
 	}
 }
 
-func (e *Engine) notifyEnded(j job, whole bool) {
+func (e *Engine) notifyEnded(j job, completed bool) {
 	if e.options.Observer != nil {
-		e.options.Observer.Ended(j.tag, whole)
+		e.options.Observer.Ended(j.tag, completed)
 	}
 }
--- a/internal/standin/enginecache.go
+++ b/internal/standin/enginecache.go
@@ -42,6 +42,7 @@
 	event port.CacheEvent
 }
 
+// newPrefixCache returns an empty cache for the given number of tokens.
 func newPrefixCache(tokens int) *prefixCache {
 	return &prefixCache{capacity: tokens, order: list.New(), entries: map[string]*list.Element{}}
 }
@@ -112,6 +113,7 @@
 	return out
 }
 
+// serveCacheEvents returns the cache events after the sequence number in the parameter since.
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	sequence, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	if err != nil {
