--- a/internal/cli/edit.go
+++ b/internal/cli/edit.go
@@ -13,13 +13,13 @@
 	"github.com/stepcroft/stepcroft/internal/settings"
 )
 
-// edited returns the T of a YAML text after setting fields in it. Each of
-// set is a path and a value, such as limits.queue=50; the value is YAML.
-func edited[T any](text []byte, set []string) (T, error) {
+// decodeWithFields decodes a YAML text as a T after changing fields in it. Each entry of set is the
+// path of a field and its new value in YAML, such as limits.queue=50.
+func decodeWithFields[T any](text []byte, set []string) (T, error) {
 	var zero T
 	fields := map[string]any{}
 	if err := yaml.Unmarshal(text, &fields); err != nil {
-		return zero, errors.Wrap(err, "read YAML")
+		return zero, errors.Wrap(err, "parse YAML")
 	}
 	for _, s := range set {
 		path, value, ok := strings.Cut(s, "=")
@@ -39,6 +39,7 @@
 	return settings.Decode[T]("command line", out)
 }
 
+// setField sets the field at a path, and creates the mappings on the way that do not exist.
 func setField(fields map[string]any, path []string, value any) {
 	if len(path) == 1 {
 		fields[path[0]] = value
@@ -52,48 +53,50 @@
 	setField(next, path[1:], value)
 }
 
-// flatten returns a JSON object as sorted lines of path=value.
-func flatten(body []byte) []string {
+// fieldLines returns the fields of a JSON object as sorted lines of path=value.
+func fieldLines(body []byte) []string {
 	var lines []string
-	for path, value := range leaves(body) {
+	for path, value := range fieldValues(body) {
 		lines = append(lines, path+"="+value)
 	}
 	slices.Sort(lines)
 	return lines
 }
 
-// difference returns a line for each field that differs between two JSON
-// objects.
-func difference(before, after []byte) []string {
-	a, b := leaves(before), leaves(after)
+// changedFields returns a line for each field that differs between two JSON objects.
+func changedFields(before, after []byte) []string {
+	a, b := fieldValues(before), fieldValues(after)
 	paths := maps.Clone(a)
 	maps.Copy(paths, b)
 	var lines []string
 	for _, path := range slices.Sorted(maps.Keys(paths)) {
 		if a[path] != b[path] {
-			lines = append(lines, fmt.Sprintf("%s: %s -> %s", path, orNone(a, path), orNone(b, path)))
+			lines = append(lines, fmt.Sprintf("%s: %s -> %s", path, valueOrNotSet(a, path), valueOrNotSet(b, path)))
 		}
 	}
 	return lines
 }
 
-func orNone(m map[string]string, path string) string {
+func valueOrNotSet(m map[string]string, path string) string {
 	if v, ok := m[path]; ok {
 		return v
 	}
 	return "(not set)"
 }
 
-func leaves(body []byte) map[string]string {
+// fieldValues maps the paths of a JSON object's fields, those of nested objects included, to their
+// values in JSON. Text that is not JSON has no fields.
+func fieldValues(body []byte) map[string]string {
 	out := map[string]string{}
 	var v any
 	if json.Unmarshal(body, &v) == nil {
-		collect(out, "", v)
+		collectFields(out, "", v)
 	}
 	return out
 }
 
-func collect(out map[string]string, path string, v any) {
+// collectFields adds v to out under its path or, if v is an object, the fields in it.
+func collectFields(out map[string]string, path string, v any) {
 	fields, ok := v.(map[string]any)
 	if !ok {
 		text, err := json.Marshal(v)
@@ -103,6 +106,6 @@
 		return
 	}
 	for name, value := range fields {
-		collect(out, strings.TrimPrefix(path+"."+name, "."), value)
+		collectFields(out, strings.TrimPrefix(path+"."+name, "."), value)
 	}
 }
--- a/internal/standin/enginecache.go
+++ b/internal/standin/enginecache.go
@@ -12,27 +12,31 @@
 	"github.com/stepcroft/stepcroft/internal/port"
 )
 
-// keptEvents is the number of cache events an engine keeps; older ones are
-// lost to whoever has not read them.
-const keptEvents = 256
+// maxCacheEvents is the maximum number of cache events that an engine keeps. The oldest are dropped
+// first, whether they were read or not.
+const maxCacheEvents = 256
 
-// prefixCache is an engine's cache of processed prompt prefixes, bounded in
-// tokens; the one unused longest goes first.
+// prefixCache is an engine's cache of processed prompt prefixes. It is limited in tokens and evicts
+// the least recently used prefix.
 type prefixCache struct {
-	mu       sync.Mutex
+	mu sync.Mutex
+	// capacity and used are in tokens.
 	capacity int
 	used     int
+	// order holds the prefixes, most recently used first.
 	order    *list.List
 	entries  map[string]*list.Element
 	events   []timedEvent
 	sequence uint64
 }
 
-type cached struct {
+// cachedPrefix is a prefix in the cache.
+type cachedPrefix struct {
 	prefix string
 	tokens int
 }
 
+// timedEvent is a cache event with the time when it happened.
 type timedEvent struct {
 	at    time.Time
 	event port.CacheEvent
@@ -42,21 +46,22 @@
 	return &prefixCache{capacity: tokens, order: list.New(), entries: map[string]*list.Element{}}
 }
 
-// PrefixKey returns the key under which engines report a prompt's prefix: the
-// hash of the first message of several.
+// PrefixKey returns the key under which engines report the prefix of a prompt with several
+// messages: the hash of the first message.
 func PrefixKey(first string) string {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(first))
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// use returns how many tokens of a prefix are cached, and caches it.
-func (c *prefixCache) use(prefix string, tokens int) int {
+// lookupOrAdd returns the number of cached tokens of a prefix. It adds a new prefix to the cache and
+// marks an old one as recently used. A prefix larger than the capacity is not cached.
+func (c *prefixCache) lookupOrAdd(prefix string, tokens int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e := c.entries[prefix]; e != nil {
 		c.order.MoveToFront(e)
-		return e.Value.(cached).tokens
+		return e.Value.(cachedPrefix).tokens
 	}
 	if tokens > c.capacity {
 		return 0
@@ -64,40 +69,42 @@
 	for c.used+tokens > c.capacity {
 		c.evict()
 	}
-	c.entries[prefix] = c.order.PushFront(cached{prefix, tokens})
+	c.entries[prefix] = c.order.PushFront(cachedPrefix{prefix, tokens})
 	c.used += tokens
-	c.note(prefix, tokens, true)
+	c.recordEvent(prefix, tokens, true)
 	return 0
 }
 
+// evict removes the least recently used prefix.
 func (c *prefixCache) evict() {
 	e := c.order.Back()
-	gone := e.Value.(cached)
+	evicted := e.Value.(cachedPrefix)
 	c.order.Remove(e)
-	delete(c.entries, gone.prefix)
-	c.used -= gone.tokens
-	c.note(gone.prefix, gone.tokens, false)
+	delete(c.entries, evicted.prefix)
+	c.used -= evicted.tokens
+	c.recordEvent(evicted.prefix, evicted.tokens, false)
 }
 
-func (c *prefixCache) note(prefix string, tokens int, stored bool) {
+// recordEvent records an event: a prefix was stored or evicted.
+func (c *prefixCache) recordEvent(prefix string, tokens int, stored bool) {
 	c.sequence++
 	c.events = append(c.events, timedEvent{clock.Now(), port.CacheEvent{
 		Sequence: c.sequence, Prefix: prefix, Tokens: tokens, Stored: stored,
 	}})
-	if len(c.events) > keptEvents {
+	if len(c.events) > maxCacheEvents {
 		c.events = c.events[1:]
 	}
 }
 
-// since returns the events after a sequence number that are old enough to be
-// told, leaving out every dropped-th of them.
-func (c *prefixCache) since(sequence uint64, age time.Duration, dropped uint64) []port.CacheEvent {
+// since returns the events after a sequence number that are at least of the given age. If dropEvery
+// is not 0, events whose sequence number is a multiple of it are left out.
+func (c *prefixCache) since(sequence uint64, age time.Duration, dropEvery uint64) []port.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	due := clock.Now().Add(-age)
 	var out []port.CacheEvent
 	for _, e := range c.events {
-		lost := dropped > 0 && e.event.Sequence%dropped == 0
+		lost := dropEvery > 0 && e.event.Sequence%dropEvery == 0
 		if e.event.Sequence > sequence && !e.at.After(due) && !lost {
 			out = append(out, e.event)
 		}
@@ -111,7 +118,7 @@
 		http.Error(w, "since: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	f := e.get()
+	f := e.faults()
 	events := e.cache.since(sequence, time.Duration(f.LateLoadMS)*time.Millisecond, uint64(f.DropEvents))
 	writeJSON(w, http.StatusOK, events)
 }
