--- a/internal/catalog/incarnation_test.go
+++ b/internal/catalog/incarnation_test.go
@@ -151,7 +151,7 @@
 			known[i] = catalog.New(bornCodec{}, drainPeriod, entryTTL)
 			newest[i] = map[string]int64{}
 		}
-		held := func(revision int64) map[string]catalog.Change {
+		objectsAt := func(revision int64) map[string]catalog.Change {
 			out := map[string]catalog.Change{}
 			for _, e := range events[:revision] {
 				out[e.Name] = e
@@ -159,24 +159,24 @@
 			return out
 		}
 		router := rapid.IntRange(0, routers-1)
-		seen := make([]int64, routers)
+		lastChecked := make([]int64, routers)
 		check := func(i int) {
 			// After the removal of an entry any incarnation may follow.
-			for _, e := range events[min(seen[i], known[i].TargetsRevision()):known[i].TargetsRevision()] {
+			for _, e := range events[min(lastChecked[i], known[i].TargetsRevision()):known[i].TargetsRevision()] {
 				if e.Gone {
 					delete(newest[i], e.Name)
 				}
 			}
-			seen[i] = known[i].TargetsRevision()
-			now := map[string]int64{}
+			lastChecked[i] = known[i].TargetsRevision()
+			current := map[string]int64{}
 			for _, target := range known[i].Targets() {
 				if last := newest[i][target.ID]; target.Born < last {
 					t.Fatalf("router %d uses incarnation %d of %s after incarnation %d", i, target.Born, target.ID, last)
 				}
-				now[target.ID] = target.Born
+				current[target.ID] = target.Born
 			}
-			for name, e := range held(known[i].TargetsRevision()) {
-				born, used := now[name]
+			for name, e := range objectsAt(known[i].TargetsRevision()) {
+				born, used := current[name]
 				bad := e.Gone || string(e.Value) == "?"
 				if bad && used {
 					t.Fatalf("router %d uses %s@%d, whose entry is gone or invalid as of %d", i, name, born, e.Revision)
@@ -184,17 +184,17 @@
 				if bad {
 					continue
 				}
-				says, _ := strconv.ParseInt(string(e.Value), 10, 64)
+				entryBorn, _ := strconv.ParseInt(string(e.Value), 10, 64)
 				// The store may hold only a late write of an older incarnation, and a router may
 				// have missed that the entry was removed in between.
-				if !used && says >= newestOf(events[:known[i].TargetsRevision()], name) {
-					t.Fatalf("router %d does not use %s@%d", i, name, says)
+				if !used && entryBorn >= newestOf(events[:known[i].TargetsRevision()], name) {
+					t.Fatalf("router %d does not use %s@%d", i, name, entryBorn)
 				}
-				if used && born < says {
-					t.Fatalf("router %d uses %s@%d though %d is known", i, name, born, says)
+				if used && born < entryBorn {
+					t.Fatalf("router %d uses %s@%d though %d is known", i, name, born, entryBorn)
 				}
 			}
-			for name, born := range now {
+			for name, born := range current {
 				newest[i][name] = max(newest[i][name], born)
 			}
 		}
@@ -221,13 +221,13 @@
 						newest[i][e.Name] = max(newest[i][e.Name], born)
 					}
 				}
-				seen[i] = to
+				lastChecked[i] = to
 			},
 			"list": func(t *rapid.T) {
 				i := router.Draw(t, "router")
 				revision := rapid.Int64Range(0, int64(len(events))).Draw(t, "revision")
 				var list []message.StoredObject
-				for _, e := range held(revision) {
+				for _, e := range objectsAt(revision) {
 					if !e.Gone {
 						list = append(list, e.StoredObject)
 					}
--- a/internal/catalog/zones.go
+++ b/internal/catalog/zones.go
@@ -44,6 +44,6 @@
 // zoneDrained reports whether a zone is drained.
 func (c *Catalog) zoneDrained(zone string) bool {
 	_, listed := c.zones.objects[zone]
-	_, held := c.retainedZones[zone]
-	return listed || held
+	_, retained := c.retainedZones[zone]
+	return listed || retained
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -73,14 +73,14 @@
 // StartTrial implements forward.Suspects. Of all running routers, only the one that ranks first
 // for the request may send it as a trial.
 func (g suspects) StartTrial(ctx context.Context, k quarantine.Key, until time.Time) bool {
-	may := false
+	allowed := false
 	g.loop.PostAndWait(ctx, func(_ *balance.State, now time.Time) {
-		may = g.ranksFirst(now, k) && g.quarantine.state.StartTrial(now, k, until)
-		if may {
+		allowed = g.ranksFirst(now, k) && g.quarantine.state.StartTrial(now, k, until)
+		if allowed {
 			g.Log.Info("request on trial", "content", k.String())
 		}
 	})
-	return may
+	return allowed
 }
 
 // EndTrial implements forward.Suspects.
@@ -175,14 +175,14 @@
 		return
 	}
 	for _, r := range list {
-		kept := true
+		queued := true
 		switch n := r.Uncleared(); {
 		case quarantine.HeldBack(n):
-			kept = g.QuarantineStore.Save(r)
+			queued = g.QuarantineStore.Save(r)
 		case n == 0 && quarantine.HeldBack(len(r.Crashes)):
-			kept = g.QuarantineStore.Delete(r.Key)
+			queued = g.QuarantineStore.Delete(r.Key)
 		}
-		if !kept {
+		if !queued {
 			g.Log.Info("request held back not kept", "content", r.Key.String())
 		}
 	}
--- a/internal/roster/detect.go
+++ b/internal/roster/detect.go
@@ -225,16 +225,16 @@
 
 // randomDown returns a random router that does not count as running, nil if there is none.
 func (r *Roster) randomDown(now time.Time) *entry {
-	var lost []*entry
+	var down []*entry
 	for _, e := range r.peerList {
 		if !r.countsAsRunning(now, e) {
-			lost = append(lost, e)
+			down = append(down, e)
 		}
 	}
-	if len(lost) == 0 {
+	if len(down) == 0 {
 		return nil
 	}
-	return lost[r.random.IntN(len(lost))]
+	return down[r.random.IntN(len(down))]
 }
 
 // forget removes routers that have been gone for goneTTL and are not listed.
--- a/internal/roster/news_test.go
+++ b/internal/roster/news_test.go
@@ -41,12 +41,12 @@
 
 // sendFound forwards the records that are new at a router.
 func (s *quarantineFleet) sendFound(r *router) {
-	_, parcels := s.exchanges[s.index[r]].Updates(s.time())
-	s.sendParcels(r, parcels)
+	_, outgoing := s.exchanges[s.index[r]].Updates(s.time())
+	s.sendOutgoing(r, outgoing)
 }
 
-func (s *quarantineFleet) sendParcels(r *router, parcels []quarantine.Outgoing) {
-	for _, p := range parcels {
+func (s *quarantineFleet) sendOutgoing(r *router, outgoing []quarantine.Outgoing) {
+	for _, p := range outgoing {
 		s.sendRecords(r, s.byPeer[p.To], p.Records)
 	}
 }
@@ -73,8 +73,8 @@
 		delay := minLatency + time.Duration(s.random.Int64N(int64(maxProcessingDelay)))
 		s.after(delay, func() {
 			s.received += len(part)
-			_, parcels := s.exchanges[s.index[to]].Receive(s.time(), part)
-			s.sendParcels(to, parcels)
+			_, outgoing := s.exchanges[s.index[to]].Receive(s.time(), part)
+			s.sendOutgoing(to, outgoing)
 		})
 	}
 }
@@ -94,11 +94,12 @@
 	s.after(50*time.Millisecond, func() { s.tick(r) })
 }
 
-// countKnowing returns the number of routers that know of at least so many crashes by a request.
-func (s *quarantineFleet) countKnowing(k quarantine.Key, ends int) int {
+// countKnowing returns the number of routers that know of at least the given number of crashes under
+// a request.
+func (s *quarantineFleet) countKnowing(k quarantine.Key, crashes int) int {
 	n := 0
 	for _, state := range s.states {
-		if state.View().Crashes(k) >= ends {
+		if state.View().Crashes(k) >= crashes {
 			n++
 		}
 	}
--- a/internal/roster/storm_test.go
+++ b/internal/roster/storm_test.go
@@ -33,7 +33,7 @@
 func (s *quarantineFleet) crashZone() []quarantine.Key {
 	var keys []quarantine.Key
 	seen := map[int]map[*router]bool{}
-	broke := func(engine int, r *router, k quarantine.Key) {
+	breakAnswer := func(engine int, r *router, k quarantine.Key) {
 		if seen[engine] == nil {
 			seen[engine] = map[*router]bool{}
 		}
@@ -51,9 +51,9 @@
 			k := quarantine.KeyOf("o", "POST", fmt.Sprint(engine, i), nil)
 			keys = append(keys, k)
 			r := s.routers[s.random.IntN(len(s.routers))]
-			broke(engine, r, k)
+			breakAnswer(engine, r, k)
 			if s.random.Float64() < retriedFraction {
-				broke((engine+1)%crashedEngines, r, k)
+				breakAnswer((engine+1)%crashedEngines, r, k)
 			}
 		}
 	}
@@ -86,9 +86,9 @@
 			s := newQuarantineFleet(f)
 			keys := s.crashZone()
 			held, seconds := 0, int(observationTime/time.Second)
-			most := maxSentBytesPerSecond * n * seconds
+			maxSentBytes := maxSentBytesPerSecond * n * seconds
 			// Stops early if far too much was sent already.
-			for began := f.now; f.now-began < observationTime && s.bytes <= 2*most; {
+			for began := f.now; f.now-began < observationTime && s.bytes <= 2*maxSentBytes; {
 				f.run(50 * time.Millisecond)
 				held = max(held, s.heldBack(keys))
 			}
@@ -96,11 +96,11 @@
 			if held > 0 {
 				t.Errorf("%d requests held back, summed over all routers", held)
 			}
-			if s.bytes > most {
-				t.Errorf("%d bytes sent, want at most %d", s.bytes, most)
+			if s.bytes > maxSentBytes {
+				t.Errorf("%d bytes sent, want at most %d", s.bytes, maxSentBytes)
 			}
-			if taken := s.received / n / seconds; taken > maxReceivedPerSecond {
-				t.Errorf("a router received %d records per second, want at most %d", taken, maxReceivedPerSecond)
+			if receivedPerSecond := s.received / n / seconds; receivedPerSecond > maxReceivedPerSecond {
+				t.Errorf("a router received %d records per second, want at most %d", receivedPerSecond, maxReceivedPerSecond)
 			}
 		})
 	}
