--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -107,11 +107,11 @@
 // is served; nbhttp sets it again afterwards.
 type withoutIdleTimeout struct{ next http.Handler }
 
-func (u withoutIdleTimeout) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h withoutIdleTimeout) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if res, ok := w.(*nbhttp.Response); ok && res.Parser != nil {
 		_ = res.Parser.Conn.SetReadDeadline(time.Time{})
 	}
-	u.next.ServeHTTP(w, r)
+	h.next.ServeHTTP(w, r)
 }
 
 // rejectHandler returns the handler of requests on connections beyond MaxConnections.
@@ -134,13 +134,13 @@
 	maxOpen      int64
 }
 
-func (b connectionLimiter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if b.maxOpen == 0 || b.open.Load() <= b.maxOpen {
-		b.next.ServeHTTP(w, r)
+func (l connectionLimiter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if l.maxOpen == 0 || l.open.Load() <= l.maxOpen {
+		l.next.ServeHTTP(w, r)
 		return
 	}
 	w.Header().Set("Connection", "close")
-	b.reject.ServeHTTP(w, r)
+	l.reject.ServeHTTP(w, r)
 }
 
 // trackConnections counts open connections. It also makes the accepting goroutine's writes to a
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -204,7 +204,7 @@
 }
 
 // Close closes the server and all its connections at once.
-func (s *Server) Close() error { return errors.Wrap(s.server.Close(), "close callers' side") }
+func (s *Server) Close() error { return errors.Wrap(s.server.Close(), "close HTTP server for callers") }
 
 // ServeHTTP serves one request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
--- a/internal/ingress/overdue_test.go
+++ b/internal/ingress/overdue_test.go
@@ -61,12 +61,12 @@
 				}
 				_, _ = c.Read(make([]byte, 1))
 			}
-			want, turned := int64(2), int64(0)
+			wantServed, wantRejected := int64(2), int64(0)
 			if short {
-				want, turned = 0, 2
+				wantServed, wantRejected = 0, 2
 			}
-			if served.Load() != want || s.RejectedConnections() != turned {
-				t.Errorf("%d served, %d rejected, want %d and %d", served.Load(), s.RejectedConnections(), want, turned)
+			if served.Load() != wantServed || s.RejectedConnections() != wantRejected {
+				t.Errorf("%d served, %d rejected, want %d and %d", served.Load(), s.RejectedConnections(), wantServed, wantRejected)
 			}
 			if s.conns.unread.Enqueue(time.Now().Add(time.Hour), true) == nil {
 				t.Error("a closed connection still counts as waiting")
