--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -68,8 +68,8 @@
 	RetryWindow time.Duration
 	// QuotaWindow is the time over which the shares of organisations are counted.
 	QuotaWindow time.Duration
-	// A cold target may get ColdOver times its rate plus ColdSlack requests a second from all
-	// routers together.
+	// ColdOver and ColdSlack bound the requests to a cold target: it may get ColdOver times
+	// its rate plus ColdSlack requests a second from all routers together.
 	ColdOver, ColdSlack float64
 }
 
@@ -321,7 +321,7 @@
 	}
 	t.target.localLoad.PendingTokens -= t.load.PendingTokens
 	t.load.PendingTokens = 0
-	t.target.forget(t)
+	t.target.removeUnstarted(t)
 	s.dispatch(now)
 }
 
@@ -333,7 +333,7 @@
 	}
 	t.target = nil
 	to.localLoad = to.localLoad.Minus(t.load)
-	to.forget(t)
+	to.removeUnstarted(t)
 	delete(to.running, t)
 	if how == Answered {
 		to.endProbe(t)
@@ -343,7 +343,7 @@
 	if how == Refused {
 		s.countRefusal(now, to)
 	}
-	to.record(now, how)
+	to.recordResult(now, how)
 	if how == Answered && !t.Engine && t.foundFreeSlot {
 		to.learnServiceTime(now.Sub(t.sentAt))
 	}
@@ -365,7 +365,7 @@
 	t.serviceTime += time.Duration(serviceTimeWeight * float64(took-t.serviceTime))
 }
 
-func (t *target) forget(k *Ticket) {
+func (t *target) removeUnstarted(k *Ticket) {
 	if i := slices.Index(t.unstarted, k); i >= 0 {
 		t.unstarted = slices.Delete(t.unstarted, i, i+1)
 	}
--- a/internal/balance/box_test.go
+++ b/internal/balance/box_test.go
@@ -113,8 +113,7 @@
 	seconds    []second
 	requests   int
 	// contended is set if the control loop competes for the processor with everything else.
-	// longestWait is the longest time that a request waited for the processor before it was
-	// decided on.
+	// longestWait is the longest time from the arrival of a request until it was parsed.
 	contended   bool
 	backlog     backlog.Queue
 	longestWait time.Duration
@@ -129,10 +128,10 @@
 // arrival is a connection that waits to be accepted, and what to do when its request is
 // refused or admitted.
 type arrival struct {
-	kind      kind
-	arrivedAt time.Time
-	refused   func()
-	admitted  func(arrived time.Time)
+	kind       kind
+	arrivedAt  time.Time
+	onRefused  func()
+	onAdmitted func(arrived time.Time)
 }
 
 // newBox returns a box that no caller has used yet.
@@ -212,14 +211,14 @@
 }
 
 // tick simulates what the control loop does at each tick.
-func (b *box) tick(n int, used time.Duration, looked time.Time) {
+func (b *box) tick(n int, used time.Duration, measuredAt time.Time) {
 	b.Tick(b.now)
 	if n%meterTicks == 0 && n > 0 {
-		b.SetCPUUtilisation(b.now, (b.used-used).Seconds()/(b.now.Sub(looked).Seconds()*b.cores), b.cores)
-		used, looked = b.used, b.now
+		b.SetCPUUtilisation(b.now, (b.used-used).Seconds()/(b.now.Sub(measuredAt).Seconds()*b.cores), b.cores)
+		used, measuredAt = b.used, b.now
 	}
 	b.gates = b.gatesAt(b.now)
-	b.after(tickInterval, func() { b.workInLoop(tickCost, func() { b.tick(n+1, used, looked) }) })
+	b.after(tickInterval, func() { b.workInLoop(tickCost, func() { b.tick(n+1, used, measuredAt) }) })
 }
 
 // drawKind returns a random kind of request.
@@ -237,16 +236,16 @@
 	return kinds[0]
 }
 
-// arrive simulates a request whose caller retries so many times if it is refused.
-func (b *box) arrive(k kind, again int) {
+// arrive simulates a request whose caller retries it up to retries times if it is refused.
+func (b *box) arrive(k kind, retries int) {
 	b.requests++
 	s := &b.seconds[b.now.Sub(b.start)/time.Second]
 	s.demand += k.tokens()
 	s.requests++
 	refuse := func() {
 		s.refused++
-		if again > 0 {
-			b.after(time.Second+time.Duration(b.random.Int64N(int64(time.Second))), func() { b.arrive(k, again-1) })
+		if retries > 0 {
+			b.after(time.Second+time.Duration(b.random.Int64N(int64(time.Second))), func() { b.arrive(k, retries-1) })
 		}
 	}
 	reconnects := 0
@@ -256,7 +255,7 @@
 	read := func(arrived time.Time) { b.parse(k, arrived, s, refuse) }
 	switch {
 	case b.contended:
-		b.connect(reconnects, arrival{kind: k, refused: refuse, admitted: read})
+		b.connect(reconnects, arrival{kind: k, onRefused: refuse, onAdmitted: read})
 	case !b.admits(k):
 		b.work(refusalCost, refuse)
 	default:
@@ -264,15 +263,15 @@
 	}
 }
 
-// connect simulates a caller's connection. If it is refused, the caller reconnects at once, so
-// many times.
+// connect simulates a caller's connection. If it is refused, the caller reconnects at once, up
+// to reconnects times.
 func (b *box) connect(reconnects int, a arrival) {
 	if reconnects > 0 {
 		wait := a
-		a.refused = func() { b.after(reconnectTime, func() { b.connect(reconnects-1, wait) }) }
+		a.onRefused = func() { b.after(reconnectTime, func() { b.connect(reconnects-1, wait) }) }
 	}
 	if len(b.listenBacklog) == maxListenBacklog {
-		b.after(connectTimeout, a.refused)
+		b.after(connectTimeout, a.onRefused)
 		return
 	}
 	a.arrivedAt = b.now
@@ -283,21 +282,21 @@
 	}
 }
 
-// accept simulates the goroutine that accepts connections. It accepts so many in a row before
-// others get the processor.
+// accept simulates the goroutine that accepts connections. It accepts turns connections in a
+// row before others get the processor.
 func (b *box) accept(turns int) {
 	a := b.listenBacklog[0]
 	b.listenBacklog = b.listenBacklog[1:]
 	cost, refuse := time.Duration(0), func() {}
-	place := b.backlog.Enqueue(b.now, b.overloaded())
-	if place != nil && b.gates != nil && !b.admits(a.kind) {
-		b.backlog.Remove(place)
-		place = nil
+	element := b.backlog.Enqueue(b.now, b.overloaded())
+	if element != nil && b.gates != nil && !b.admits(a.kind) {
+		b.backlog.Remove(element)
+		element = nil
 	}
-	if place == nil {
-		cost, refuse = earlyRefusalCost, a.refused
+	if element == nil {
+		cost, refuse = earlyRefusalCost, a.onRefused
 	} else {
-		b.work(inspectCost, func() { b.inspect(place, a) })
+		b.work(inspectCost, func() { b.inspect(element, a) })
 	}
 	b.accepting = len(b.listenBacklog) > 0
 	switch {
@@ -312,12 +311,12 @@
 }
 
 // inspect simulates the router's first look at a connection.
-func (b *box) inspect(place *list.Element, a arrival) {
-	if b.backlog.Dequeue(b.now, place, b.overloaded()) {
-		b.workFirst(earlyRefusalCost, a.refused)
+func (b *box) inspect(element *list.Element, a arrival) {
+	if b.backlog.Dequeue(b.now, element, b.overloaded()) {
+		b.workFirst(earlyRefusalCost, a.onRefused)
 		return
 	}
-	a.admitted(a.arrivedAt)
+	a.onAdmitted(a.arrivedAt)
 }
 
 // overloaded reports whether the router is short of processor time.
@@ -329,7 +328,7 @@
 	b.next()
 }
 
-// parse simulates a request that arrived at a time and was admitted.
+// parse simulates parsing a request that has been admitted, and serving it.
 func (b *box) parse(k kind, arrived time.Time, s *second, refuse func()) {
 	t := &Ticket{
 		ID: fmt.Sprint(b.requests), Service: "llm", Organisation: "o", Engine: true, Stream: true,
@@ -339,7 +338,7 @@
 	b.work(requestCost*parsePercent/100, func() {
 		b.longestWait = max(b.longestWait, b.now.Sub(arrived))
 		b.Arrive(b.now, t)
-		b.decided(t, func(d Decision) {
+		b.whenDecided(t, func(d Decision) {
 			if d.Refused != "" {
 				b.work(refusalCost, refuse)
 				return
@@ -351,31 +350,31 @@
 	})
 }
 
-// decided calls do with a request's decision as soon as there is one.
-func (b *box) decided(t *Ticket, do func(Decision)) {
+// whenDecided calls do with a request's decision as soon as there is one.
+func (b *box) whenDecided(t *Ticket, do func(Decision)) {
 	select {
 	case d := <-t.Decision:
 		do(d)
 	default:
-		b.after(time.Millisecond, func() { b.decided(t, do) })
+		b.after(time.Millisecond, func() { b.whenDecided(t, do) })
 	}
 }
 
-// forward simulates forwarding the events that an engine has produced by now, of which the
-// first so many were forwarded before.
-func (b *box) forward(k kind, t *Ticket, start time.Time, passed int) {
+// forward simulates forwarding the events that an engine has produced by now. The first
+// forwarded of them were forwarded before.
+func (b *box) forward(k kind, t *Ticket, start time.Time, forwarded int) {
 	b.work(eventCost, func() {
-		if passed == 0 {
+		if forwarded == 0 {
 			b.Started(b.now, t)
 		}
-		made := min(int(b.now.Sub(start)/eventGap)+1, k.events)
+		produced := min(int(b.now.Sub(start)/eventGap)+1, k.events)
 		t.Pieces.Add(1)
-		if made == k.events {
+		if produced == k.events {
 			b.work(requestCost*(100-parsePercent)/100, func() { b.Ended(b.now, t, Answered) })
 			return
 		}
-		next := start.Add(time.Duration(made) * eventGap).Sub(b.now)
-		b.after(max(next, b.coalesceDelay()), func() { b.forward(k, t, start, made) })
+		next := start.Add(time.Duration(produced) * eventGap).Sub(b.now)
+		b.after(max(next, b.coalesceDelay()), func() { b.forward(k, t, start, produced) })
 	})
 }
 
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -45,9 +45,9 @@
 	// fetchTokens the number that it would fetch from source instead.
 	uncachedTokens, fetchTokens int
 	work                        pace.Work
-	// first is the expected time from sending the request to its first event. safe is a
-	// conservative estimate of the same.
-	first, safe time.Duration
+	// expected is the expected time from sending the request to its first event, and
+	// conservative the same plus the model's usual error.
+	expected, conservative time.Duration
 	// source is the engine to fetch cached tokens from; nil if no other engine caches more of
 	// the prompt.
 	source *target
@@ -73,8 +73,8 @@
 	for i, c := range candidates {
 		p := k.placementAt(c, s.missing[i], own)
 		p.work = pace.Work{Ahead: s.pendingTokens(now, c, model), Uncached: p.uncachedTokens}
-		p.first = model.Predict(p.work)
-		p.safe = p.first + time.Duration(model.RelativeError()*float64(p.first))
+		p.expected = model.Predict(p.work)
+		p.conservative = p.expected + time.Duration(model.RelativeError()*float64(p.expected))
 		away := c != k.home && p.uncachedTokens+p.fetchTokens > own
 		if over && away || !s.fits(now, c, t) || !r.admits(p, model) {
 			continue
@@ -88,7 +88,7 @@
 
 // cost returns the cost of sending a request to a placement, as a time.
 func (s *State) cost(now time.Time, p placement, home bool, r room, m *pace.Model) time.Duration {
-	cost := p.first + m.PrefillTime(p.uncachedTokens*rereadPercent/100+p.fetchTokens*fetchPercent/100)
+	cost := p.expected + m.PrefillTime(p.uncachedTokens*rereadPercent/100+p.fetchTokens*fetchPercent/100)
 	cost += time.Duration(s.loadOf(now, p.target).Running) * slotCost
 	if p.Zone != s.zone {
 		cost += otherZoneCost
@@ -96,7 +96,7 @@
 	if !home {
 		cost += awayCost
 	}
-	if p.safe > r.remaining {
+	if p.conservative > r.remaining {
 		cost += lateCost
 	}
 	return cost
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -30,8 +30,8 @@
 
 func (h *health) suspected(now time.Time) bool { return now.Before(h.suspectedUntil) }
 
-// record updates the health with the result of a request.
-func (h *health) record(now time.Time, how Result) {
+// recordResult updates the health with the result of a request.
+func (h *health) recordResult(now time.Time, how Result) {
 	switch how {
 	case Answered:
 		h.failureRate *= 1 - failureWeight
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -47,7 +47,7 @@
 	k.OnLost(func() { lost++ })
 	s.Arrive(now, k)
 	old := s.findIncarnation("e@1")
-	old.record(now, Unreachable)
+	old.recordResult(now, Unreachable)
 	s.ApplyReport(now, "r", view.Report{Loads: map[string]view.Load{"e@1": {Running: 7}}, SharedParts: map[string][]string{"e@1": {"other"}}})
 	if got := s.loadOf(now, old); got.Running != 8 || !old.suspected(now) {
 		t.Fatalf("load %+v before the restart, suspected %v", got, old.suspected(now))
--- a/internal/balance/plain_test.go
+++ b/internal/balance/plain_test.go
@@ -37,11 +37,11 @@
 			first = i
 		}
 	}
-	begins := now
+	begin := now
 	if p.free[first].After(now) {
-		begins = p.free[first]
+		begin = p.free[first]
 	}
-	p.free[first] = begins.Add(burstWork)
+	p.free[first] = begin.Add(burstWork)
 	return p.free[first]
 }
 
@@ -61,7 +61,7 @@
 		targets[id] = &plainTarget{free: make([]time.Time, burstSlots)}
 	}
 	s.SetTargets(start, list)
-	served, asked := 0, 0
+	served, sent := 0, 0
 	for burst := range bursts {
 		from := start.Add(time.Duration(burst) * burstInterval)
 		inTime := runBurst(s, from, targets, burst)
@@ -70,10 +70,10 @@
 			continue
 		}
 		served += inTime
-		asked += burstSize
+		sent += burstSize
 	}
-	if part := float64(served) / float64(asked); part < minServedRatio {
-		t.Errorf("%.2f of the requests were served in time, want %.2f", part, minServedRatio)
+	if ratio := float64(served) / float64(sent); ratio < minServedRatio {
+		t.Errorf("%.2f of the requests were served in time, want %.2f", ratio, minServedRatio)
 	}
 }
 
@@ -100,7 +100,7 @@
 					ends[ticket] = targets[d.Target.ID].serve(now)
 				}
 			default:
-				// It waits on.
+				// The request keeps waiting.
 			}
 		}
 		for ticket, at := range ends {
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// backlogPercent bounds an engine's backlog, in time to read it and over all routers, to
-	// this part of the shortest goal of the service's routes. Later requests must still be
+	// backlogPercent bounds the time that an engine takes to read its backlog from all routers,
+	// in percent of the shortest goal of the service's routes. Later requests must still be
 	// able to start in time.
 	backlogPercent = 35
 	// shareTolerance is how many times its share an organisation may be served and still count
@@ -57,7 +57,7 @@
 // the backlog: otherwise a long one would never find room beside short ones that keep the
 // engine reading.
 func (r room) admits(p placement, m *pace.Model) bool {
-	if r.timely && p.safe <= r.remaining {
+	if r.timely && p.conservative <= r.remaining {
 		return true
 	}
 	return m.PrefillTime(p.work.Ahead)+min(m.PrefillTime(p.uncachedTokens), r.maxBacklog/2) <= r.maxBacklog
--- a/internal/balance/smallbox_test.go
+++ b/internal/balance/smallbox_test.go
@@ -19,9 +19,9 @@
 // There were two causes. Three quarters of the processor time of a request went into
 // forwarding its events one by one, 40 of them for the requests with the fewest tokens. And
 // requests were shed by number, whatever their tokens, and were retried, until shedding took
-// the time needed for serving: a router that could serve 200 requests a second served 80. An
-// organisation must be served at least half of its demand, or of what the best served one
-// gets, over six seconds.
+// the time needed for serving: a router that could serve 200 requests a second served 80. Over
+// six seconds an organisation must be served at least half of its demand, or of what the
+// best-served organisation gets.
 func TestOrganisationAtOneSmallBox(t *testing.T) {
 	for name, c := range map[string]struct {
 		rates []float64
@@ -65,7 +65,7 @@
 // Guards against an organisation losing its share at the same overloaded box: most of the
 // processor time goes into refusals, an eighth of it is left for serving, and in six seconds
 // the organisation is served 1.0 to 3.2 million tokens, where 3.29 million are half of what
-// the best served one gets.
+// the best-served organisation gets.
 func TestShareOfOverloadedBox(t *testing.T) {
 	runFloods(t, 0, func(t *testing.T, seed uint64, _ *box, seconds []second) { checkShares(t, seed, seconds) })
 }
@@ -141,7 +141,7 @@
 }
 
 // checkShares checks that over any six seconds the organisation is served at least half of its
-// demand, or of what the best served one gets.
+// demand, or of what the best-served organisation gets.
 func checkShares(t *testing.T, seed uint64, seconds []second) {
 	t.Helper()
 	const window = 6
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -205,11 +205,11 @@
 		return
 	}
 	p.queue.Remove(h)
-	s.requestDequeued(p, t)
+	s.afterDequeue(p, t)
 	s.outlet.Decide(t, request.Decision{Refused: reason})
 }
 
-func (s *State) requestDequeued(p *pool, t *request.Ticket) {
+func (s *State) afterDequeue(p *pool, t *request.Ticket) {
 	delete(p.handles, t)
 	s.waiting--
 }
@@ -289,8 +289,8 @@
 	s.reportForeign(now)
 }
 
-// Close makes the router refuse new requests. It is called once the address
-// answers that callers got before Leave have expired.
+// Close makes the router refuse new requests. It is called some time after Leave,
+// once the answers that gave callers this router's address have expired.
 func (s *State) Close() { s.closed = true }
 
 // Idle reports whether no request waits or runs.
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -48,7 +48,7 @@
 	now      time.Time
 	states   map[message.RouterID]*control.State
 	members  map[message.RouterID]member.Member
-	flight   []parcel
+	inFlight []parcel
 	decided  map[*request.Ticket][]request.Decision
 	home     map[*request.Ticket]message.RouterID
 	engines  int
@@ -67,7 +67,7 @@
 }
 
 func (o outlet) Send(to member.Member, m message.Message) {
-	o.fleet.flight = append(o.fleet.flight, parcel{o.fleet.members[o.self], to.ID, m})
+	o.fleet.inFlight = append(o.fleet.inFlight, parcel{o.fleet.members[o.self], to.ID, m})
 }
 
 func newFleet(routers, engines int, policy string, seed uint64) *fleet {
@@ -117,15 +117,15 @@
 }
 
 func (f *fleet) deliver(i int) {
-	p := f.flight[i]
-	f.flight = append(f.flight[:i:i], f.flight[i+1:]...)
+	p := f.inFlight[i]
+	f.inFlight = append(f.inFlight[:i:i], f.inFlight[i+1:]...)
 	if s := f.states[p.to]; s != nil {
 		s.Receive(p.from, p.m, f.now)
 	}
 }
 
 func (f *fleet) deliverAll() {
-	for len(f.flight) > 0 {
+	for len(f.inFlight) > 0 {
 		f.deliver(0)
 	}
 }
@@ -242,10 +242,10 @@
 	switch {
 	case kind == "arrive":
 		f.arrive(rapid.IntRange(0, 2).Draw(t, "router"), fmt.Sprintf("o%d", rapid.IntRange(0, 3).Draw(t, "organisation")))
-	case kind == "deliver" && len(f.flight) > 0:
-		f.deliver(rapid.IntRange(0, len(f.flight)-1).Draw(t, "message"))
-	case kind == "lose" && len(f.flight) > 0:
-		f.flight = f.flight[1:]
+	case kind == "deliver" && len(f.inFlight) > 0:
+		f.deliver(rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "message"))
+	case kind == "lose" && len(f.inFlight) > 0:
+		f.inFlight = f.inFlight[1:]
 	case kind == "finish" && len(f.ready()) > 0:
 		ready := f.ready()
 		f.finish(ready[rapid.IntRange(0, len(ready)-1).Draw(t, "request")], rapid.Float64Range(1, 500).Draw(t, "cost"))
@@ -331,9 +331,9 @@
 	It("recover a slot whose grant message was lost", func() {
 		f := newFleet(2, 1, "share", 1)
 		tickets := []*request.Ticket{f.arrive(other(f), "o0"), f.arrive(other(f), "o1")}
-		for len(f.flight) > 0 {
-			if _, grant := f.flight[0].m.(message.Grant); grant {
-				f.flight = f.flight[1:]
+		for len(f.inFlight) > 0 {
+			if _, grant := f.inFlight[0].m.(message.Grant); grant {
+				f.inFlight = f.inFlight[1:]
 				continue
 			}
 			f.deliver(0)
--- a/internal/control/dispatch.go
+++ b/internal/control/dispatch.go
@@ -172,7 +172,7 @@
 		if !ok {
 			return nil, false
 		}
-		s.requestDequeued(p, t)
+		s.afterDequeue(p, t)
 		if p.canMeetDeadline(t, now) {
 			return t, true
 		}
@@ -308,10 +308,10 @@
 	return o.Limits.Running > 0 && p.running[organisation] >= o.Limits.Running
 }
 
-// nextOwner returns the owners of the pool's engines round robin, separately for
-// each organisation. An owner serves an organisation at intervals that follow
-// from its share. Round robin, unlike a random choice, also asks each owner at
-// regular intervals.
+// nextOwner returns the next owner of engines of the pool in round-robin order,
+// which is kept separately for each organisation. An owner serves an organisation
+// at intervals that follow from its share. Round robin, unlike a random choice,
+// also asks each owner at regular intervals.
 func (s *State) nextOwner(p *pool, organisation string) (message.RouterID, bool) {
 	owners := s.remoteOwners[p.name]
 	if len(owners) == 0 {
--- a/internal/fair/queue.go
+++ b/internal/fair/queue.go
@@ -60,7 +60,7 @@
 		return zero, false
 	}
 	e := heap.Pop(hp).(*entry[T])
-	q.itemRemoved(organisation, hp)
+	q.afterRemove(organisation, hp)
 	return e.item, true
 }
 
@@ -83,11 +83,11 @@
 	organisation := h.entry.item.Organisation()
 	hp := q.heaps[organisation]
 	heap.Remove(hp, h.entry.index)
-	q.itemRemoved(organisation, hp)
+	q.afterRemove(organisation, hp)
 	return true
 }
 
-func (q *Queue[T]) itemRemoved(organisation string, hp *itemHeap[T]) {
+func (q *Queue[T]) afterRemove(organisation string, hp *itemHeap[T]) {
 	q.size--
 	if len(hp.entries) == 0 {
 		delete(q.heaps, organisation)
--- a/internal/fair/share.go
+++ b/internal/fair/share.go
@@ -24,7 +24,7 @@
 	// averages of the fleet's service per view and of the cost of a request.
 	smoothing = 0.3
 	// maxCreditRequests bounds an organisation's credit, in requests of mean cost. It
-	// matters where this router finds no request of an organisation for long.
+	// matters if this router finds no request of an organisation for a long time.
 	maxCreditRequests = 20
 )
 
--- a/internal/forward/advice_internal_test.go
+++ b/internal/forward/advice_internal_test.go
@@ -24,7 +24,7 @@
 		t.Run(value, func(t *testing.T) {
 			h := http.Header{"Date": {date}, "Retry-After": {value}}
 			if got := parseRetryAfter(h); got != want {
-				t.Errorf("rest %v, want %v", got, want)
+				t.Errorf("backoff %v, want %v", got, want)
 			}
 		})
 	}
