--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -19,7 +19,7 @@
 	RunSpecs(t, "load")
 }
 
-func read(file string) scenario.Scenario {
+func readScenario(file string) scenario.Scenario {
 	data, err := os.ReadFile(file)
 	Expect(err).NotTo(HaveOccurred())
 	s, err := settings.Decode[scenario.Scenario](file, data)
@@ -29,7 +29,7 @@
 
 var _ = Describe("Run", func() {
 	It("loses no request, runs none twice and gives no wrong answer under any policy", func() {
-		s := read("../cli/demo.yaml")
+		s := readScenario("../cli/demo.yaml")
 		s.Duration = settings.Duration(2 * time.Second)
 		got, err := load.Run(context.Background(), &s, load.Options{
 			Policies: []string{"omniscient", "fifo", "local", "steal", "greedy", "share"}, Seed: 1,
@@ -44,17 +44,17 @@
 	})
 
 	It("runs no request twice and gives no wrong answer when a router stops, another is cut off, an engine is leaving and the platform is unavailable", func() {
-		s := read("../cli/demo.yaml")
+		s := readScenario("../cli/demo.yaml")
 		s.Duration = settings.Duration(4 * time.Second)
 		second := settings.Duration(time.Second)
 		s.Faults = []scenario.Fault{
-			{At: second, Target: "r2", Action: "stop"},
-			{At: second, For: second, Target: "platform"},
-			{At: 2 * second, Target: "quoting-1"},
-			{At: second, For: second, Target: "r1", Action: "cut"},
+			{Start: second, Target: "r2", Action: "stop"},
+			{Start: second, Duration: second, Target: "platform"},
+			{Start: 2 * second, Target: "quoting-1"},
+			{Start: second, Duration: second, Target: "r1", Action: "cut"},
 		}
-		s.Faults[1].Set.Outage = true
-		s.Faults[2].Set.Leaving = true
+		s.Faults[1].StandinFaults.Outage = true
+		s.Faults[2].StandinFaults.Leaving = true
 		got, err := load.Run(context.Background(), &s, load.Options{Policies: []string{"default"}, Seed: 1})
 		Expect(err).NotTo(HaveOccurred())
 		p := got.Policies[0]
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -20,14 +20,14 @@
 // identified by the tag that its caller put into the prompt; see Prompt. For a service, the tag is
 // the body of the request.
 type Observer interface {
-	// Began is called when a request starts to run in a slot.
-	Began(tag string)
+	// Started is called when a request starts to run in a slot.
+	Started(tag string)
 	// Served is called with the cost served for a request since the last call, in units of one
 	// generated token.
 	Served(tag string, cost float64)
-	// Ended is called when a request leaves its slot; whole is set if it ran to completion.
-	Ended(tag string, whole bool)
-	// Resumed is called instead of Began when a request runs to continue a broken answer.
+	// Ended is called when a request leaves its slot; completed is set if it ran to completion.
+	Ended(tag string, completed bool)
+	// Resumed is called instead of Started when a request runs to continue a broken answer.
 	Resumed(tag string)
 }
 
@@ -46,9 +46,9 @@
 	PromptCost float64
 	// CacheTokens is the capacity of the cache of prompt prefixes, in tokens.
 	CacheTokens int
-	// ChecksEpoch makes the engine refuse orders whose epoch is lower than the highest one
+	// CheckEpoch makes the engine refuse orders whose epoch is lower than the highest one
 	// received.
-	ChecksEpoch bool
+	CheckEpoch bool
 	// Observer may be nil.
 	Observer Observer
 }
@@ -132,19 +132,19 @@
 	}
 }
 
-// load returns the engine's load. If load reports are late, it is the load of that time ago, as far
-// as it was recorded: each call records one.
+// load returns the engine's load. If LoadAgeMS is set, it returns the latest load recorded at least
+// that long ago, or else the oldest one; each call records the current load.
 func (e *Engine) load() port.EngineLoad {
 	f := e.faults()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := clock.Now()
 	current := port.EngineLoad{Running: e.running, Queued: len(e.queue), Slots: e.options.Slots, Leaving: f.Leaving}
-	if f.LateLoadMS == 0 {
+	if f.LoadAgeMS == 0 {
 		return current
 	}
 	e.pastLoads = append(e.pastLoads, timedLoad{now, current})
-	due := now.Add(-time.Duration(f.LateLoadMS) * time.Millisecond)
+	due := now.Add(-time.Duration(f.LoadAgeMS) * time.Millisecond)
 	for len(e.pastLoads) > 1 && e.pastLoads[1].at.Before(due) {
 		e.pastLoads = e.pastLoads[1:]
 	}
@@ -162,8 +162,8 @@
 
 // Prompt returns the content of a message that makes a stand-in engine process the given number of
 // prompt tokens and then generate the given number of tokens, each of which contains tag.
-func Prompt(tag string, prompt, tokens int) string {
-	return fmt.Sprintf("tag=%s prompt=%d tokens=%d", tag, prompt, tokens)
+func Prompt(tag string, promptTokens, tokens int) string {
+	return fmt.Sprintf("tag=%s prompt=%d tokens=%d", tag, promptTokens, tokens)
 }
 
 // Token returns the i-th token that a stand-in engine generates for a tag.
@@ -267,9 +267,9 @@
 // generate processes a job's prompt and writes its tokens, beginning with the token from, at the
 // engine's rate. A resumed job skips the processing of the prompt.
 func (e *Engine) generate(w http.ResponseWriter, j job, id string, from int, resumed bool) {
-	whole := false
+	completed := false
 	e.notifyStarted(j, resumed)
-	defer func() { e.notifyEnded(j, whole) }()
+	defer func() { e.notifyEnded(j, completed) }()
 	w.Header().Set("Content-Type", "text/event-stream")
 	if !resumed {
 		if e.options.PrefillRate > 0 {
@@ -285,7 +285,7 @@
 			e.storeBrokenAnswer(id, j, i)
 			return
 		}
-		if f := e.faults(); f.BreakAfter > 0 && i-from >= f.BreakAfter {
+		if f := e.faults(); f.BreakAfterTokens > 0 && i-from >= f.BreakAfterTokens {
 			e.storeBrokenAnswer(id, j, i)
 			closeConnection(w)
 			return
@@ -297,7 +297,7 @@
 		flush(w)
 	}
 	_, _ = io.WriteString(w, usageEvent(j))
-	whole = true
+	completed = true
 }
 
 // tokenEvent returns the server-sent event for one token.
@@ -336,7 +336,7 @@
 	case resumed:
 		e.options.Observer.Resumed(j.tag)
 	default:
-		e.options.Observer.Began(j.tag)
+		e.options.Observer.Started(j.tag)
 	}
 }
 
@@ -346,8 +346,8 @@
 	}
 }
 
-func (e *Engine) notifyEnded(j job, whole bool) {
+func (e *Engine) notifyEnded(j job, completed bool) {
 	if e.options.Observer != nil {
-		e.options.Observer.Ended(j.tag, whole)
+		e.options.Observer.Ended(j.tag, completed)
 	}
 }
