--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -85,7 +85,7 @@
 }
 
 // RecordBreak records that a target broke off its answer to a request, and returns the number
-// of crashes known under the request. The broken answer counts as a crash only once the
+// of crashes that count against the request. The broken answer counts as a crash only once the
 // target is known to have exited, which may be before this call or later. trial is set if other
 // targets were known to have crashed under the request when it was sent.
 func (s *State) RecordBreak(now time.Time, k Key, organisation, target string, trial bool) int {
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -15,7 +15,7 @@
 // mark tells how to treat a suspected request.
 type mark struct {
 	rejectedUntil, lastSeen time.Time
-	// crashes is the number of targets that crashed under the request.
+	// crashes is the number of crashes that count against the request.
 	crashes int
 }
 
@@ -43,7 +43,7 @@
 	return max(v.marks[k].rejectedUntil.Sub(now), 0)
 }
 
-// Crashes returns the number of targets that crashed under a request.
+// Crashes returns the number of crashes that count against a request.
 func (v *View) Crashes(k Key) int {
 	if v == nil {
 		return 0
--- a/internal/roster/detect.go
+++ b/internal/roster/detect.go
@@ -156,8 +156,8 @@
 
 // pingNext pings the next router in turn. Every downPingEvery-th time it also pings the seeds
 // at whose addresses no running router is known, to join separate groups of routers that know
-// only one another. While this router is isolated, it pings the seeds every time, since all
-// the routers that it knows may be gone for good.
+// only one another. If it knows no router to ping, or this router is isolated, it pings the seeds
+// every time, since all the routers that it knows may be gone for good.
 func (r *Roster) pingNext(now time.Time) []Outgoing {
 	r.forget(now)
 	r.pingCount++
