--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -102,7 +102,7 @@
 	return cost
 }
 
-// prefixLocations says which engines cache how much of a prompt.
+// prefixLocations is where a prompt's prefix is cached or should be.
 type prefixLocations struct {
 	// home is the engine that rendezvous hashing assigns the prompt to. All routers, or all of
 	// an availability zone, send the prompt there if they can.
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -24,7 +24,7 @@
 	failureRate     float64
 	suspectDuration time.Duration
 	suspectedUntil  time.Time
-	// lastProgress is when the target last started to answer or ended a request.
+	// lastProgress is when the target last started or completed an answer.
 	lastProgress time.Time
 }
 
--- a/internal/balance/peers.go
+++ b/internal/balance/peers.go
@@ -33,7 +33,7 @@
 	updatedAt time.Time
 }
 
-// allow reports whether a request that makes a target read so many tokens is to be announced,
+// allow reports whether a request that makes a target read this many tokens is to be announced,
 // and counts it if so. routers is the number of routers that announce requests to each other.
 func (n *notifyLimiter) allow(now time.Time, tokens, routers int) bool {
 	n.remaining = min(n.remaining+now.Sub(n.updatedAt).Seconds(), 1)
--- a/internal/balance/queue.go
+++ b/internal/balance/queue.go
@@ -122,7 +122,7 @@
 }
 
 // allDrained reports whether no target of a service takes requests and at least one of them
-// stands in a drained availability zone.
+// is in a drained availability zone.
 func (s *State) allDrained(now time.Time, service string) bool {
 	drained := false
 	for _, to := range s.services[service] {
--- a/internal/balance/smallbox_test.go
+++ b/internal/balance/smallbox_test.go
@@ -8,8 +8,9 @@
 // Guards against an organisation losing its share when all its callers use one small box of
 // 0.192 cores while another organisation uses the fifteen large ones. Engines had room: they
 // refused 0 to 12 of a thousand requests a second. The small box used all of its processor,
-// and answered fewer requests the more it shed. Of the log lines that it could write, out of
-// hundreds a second:
+// and answered fewer requests the more it shed. Some of the log lines that it could write, out
+// of hundreds a second; the messages are "organisation throttled" and "organisation no longer
+// throttled" today:
 //
 //	second 1: answered 149, refused 2, lines left out 0
 //	second 6: answered 27, refused 76, lines left out 538
@@ -26,7 +27,7 @@
 	for name, c := range map[string]struct {
 		rates []float64
 		each  time.Duration
-		// all is set if no request of the last second but one may be refused.
+		// all is set if no request of the second-to-last second may be refused.
 		all bool
 	}{
 		"demand that the box can serve":      {rates: []float64{141}, each: 12 * time.Second, all: true},
--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -25,7 +25,8 @@
 	RunSpecs(t, "fair")
 }
 
-// A policy picks an organisation for each free slot, and is told the cost by Charge.
+// ExampleNew shows that a policy picks an organisation for each free slot, and that Charge
+// passes it the cost.
 func ExampleNew() {
 	policy, err := fair.New("local", rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
--- a/internal/forward/advice.go
+++ b/internal/forward/advice.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// reportLeaving tells the control thread that a target is leaving.
+// reportLeaving tells the control goroutine that a target is leaving.
 func (x *inflight) reportLeaving(to balance.Target) {
 	t := x.ticket
 	x.loop.Post(func(s *balance.State, now time.Time) {
@@ -51,7 +51,7 @@
 	})
 }
 
-// reportBackoff tells the control thread that a target asked for a backoff of d.
+// reportBackoff tells the control goroutine that a target asked for a backoff of d.
 func (x *inflight) reportBackoff(to balance.Target, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,7 +1,7 @@
 // Package forward carries one request from its caller to a target and the answer back. It
 // decides when to send the request, retry it, resume its stream at another engine or abandon
-// it, and how to answer the caller. The choice of the target is made by the control thread
-// (balance.Loop), which this package talks to through a balance.Ticket.
+// it, and how to answer the caller. The control goroutine (balance.Loop) chooses the target and
+// sends its decision through a balance.Ticket.
 package forward
 
 import (
@@ -149,7 +149,7 @@
 	}
 }
 
-// awaitTarget waits until the control thread has chosen a target or refused the request.
+// awaitTarget waits until the control goroutine has chosen a target or refused the request.
 func (x *inflight) awaitTarget(ctx context.Context) (balance.Target, bool) {
 	select {
 	case d := <-x.ticket.Decision:
@@ -170,7 +170,7 @@
 	}
 }
 
-// withdraw takes the request back from the control thread. If a target has been chosen
+// withdraw takes the request back from the control goroutine. If a target has been chosen
 // already, it releases the load counted there.
 func (x *inflight) withdraw() {
 	t := x.ticket
@@ -303,7 +303,7 @@
 	return !f.mayHaveRun || x.Route.Repeatable()
 }
 
-// retry asks the control thread for another target and reports whether the retry budget
+// retry asks the control goroutine for another target and reports whether the retry budget
 // allows it. It spends no budget as long as no send has reached a target.
 func (x *inflight) retry(ctx context.Context, to balance.Target) bool {
 	t := x.ticket
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -70,7 +70,7 @@
 		defer cancel()
 		hold := make(chan bool)
 		f := forward.New(forward.HeaderNames{}, brokenSender{func() {
-			// The control thread is blocked when the retry is requested, and the caller
+			// The control goroutine is blocked when the retry is requested, and the caller
 			// disconnects meanwhile.
 			loop.Post(func(*balance.State, time.Time) { <-hold })
 			time.AfterFunc(30*time.Millisecond, cancel)
--- a/internal/forward/try.go
+++ b/internal/forward/try.go
@@ -114,14 +114,14 @@
 	return &failure{reason: ReasonCallerGone, result: balance.Abandoned, mayHaveRun: true, cause: err}
 }
 
-// endSend tells the control thread how the current send ended.
+// endSend tells the control goroutine how the current send ended.
 func (x *inflight) endSend(result balance.Result) {
 	t := x.ticket
 	x.loop.Post(func(s *balance.State, now time.Time) { s.Ended(now, t, result) })
 }
 
-// recordPiece records that a piece of the answer has arrived. It notifies the control thread of
-// the first piece of each send only: a message for each event of a stream would wake it
+// recordPiece records that a piece of the answer has arrived. It notifies the control goroutine
+// of the first piece of each send only: a message for each event of a stream would wake it
 // thousands of times a second.
 func (x *inflight) recordPiece() {
 	if x.result.TimeToFirstByte == 0 {
