--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -38,8 +38,9 @@
 	maxQueueFactor = 4
 	// serviceTimeWeight is the weight of the newest sample in the average service time.
 	serviceTimeWeight = 0.05
-	// A request waits for room for its goal divided by goalWaitDivisor and is then refused: a
-	// caller refused so early can still be served in time when it retries.
+	// goalWaitDivisor divides a request's goal; the result is how long the request waits for a
+	// target with room before it is refused. A caller refused so early can still be served in
+	// time when it retries.
 	goalWaitDivisor = 5
 	// A queue of at most eagerDispatchLength requests is searched at each event, a longer one
 	// once in dispatchInterval and until maxFailedPlacements requests found no room. This
@@ -67,8 +68,8 @@
 	RetryWindow time.Duration
 	// QuotaWindow is the time over which the shares of organisations are counted.
 	QuotaWindow time.Duration
-	// A cold target may get ColdOver times its rate plus ColdSlack requests a second from all
-	// routers together.
+	// ColdOver and ColdSlack bound the requests to a cold target: it may get ColdOver times
+	// its rate plus ColdSlack requests a second from all routers together.
 	ColdOver, ColdSlack float64
 }
 
@@ -230,9 +231,9 @@
 // neither as a new request nor as a retry.
 func (s *State) Requeue(now time.Time, t *Ticket) { s.arrive(now, t) }
 
-// MaySwitch reports whether a request may be moved from its target to
-// another one: the target has sent nothing for the time silent, the retry budget allows it,
-// and there is another usable target.
+// MaySwitch reports whether a request may be moved from its target to another one: the target
+// has sent nothing for at least silent, the retry budget allows it, and there is another usable
+// target.
 func (s *State) MaySwitch(now time.Time, t *Ticket, silent time.Duration) bool {
 	if t.target == nil || now.Sub(t.Arrived)-time.Duration(t.LastReceived.Load()) < silent {
 		return false
@@ -320,7 +321,7 @@
 	}
 	t.target.localLoad.PendingTokens -= t.load.PendingTokens
 	t.load.PendingTokens = 0
-	t.target.forget(t)
+	t.target.removeUnstarted(t)
 	s.dispatch(now)
 }
 
@@ -332,7 +333,7 @@
 	}
 	t.target = nil
 	to.localLoad = to.localLoad.Minus(t.load)
-	to.forget(t)
+	to.removeUnstarted(t)
 	delete(to.running, t)
 	if how == Answered {
 		to.endProbe(t)
@@ -342,7 +343,7 @@
 	if how == Refused {
 		s.countRefusal(now, to)
 	}
-	to.record(now, how)
+	to.recordResult(now, how)
 	if how == Answered && !t.Engine && t.foundFreeSlot {
 		to.learnServiceTime(now.Sub(t.sentAt))
 	}
@@ -364,7 +365,7 @@
 	t.serviceTime += time.Duration(serviceTimeWeight * float64(took-t.serviceTime))
 }
 
-func (t *target) forget(k *Ticket) {
+func (t *target) removeUnstarted(k *Ticket) {
 	if i := slices.Index(t.unstarted, k); i >= 0 {
 		t.unstarted = slices.Delete(t.unstarted, i, i+1)
 	}
--- a/internal/balance/smallbox_test.go
+++ b/internal/balance/smallbox_test.go
@@ -8,8 +8,9 @@
 // Guards against an organisation losing its share when all its callers use one small box of
 // 0.192 cores while another organisation uses the fifteen large ones. Engines had room: they
 // refused 0 to 12 of a thousand requests a second. The small box used all of its processor,
-// and answered fewer requests the more it shed. Of the log lines that it could write, out of
-// hundreds a second:
+// and answered fewer requests the more it shed. Some of the log lines that it could write, out
+// of hundreds a second; the messages are "organisation throttled" and "organisation no longer
+// throttled" today:
 //
 //	second 1: answered 149, refused 2, lines left out 0
 //	second 6: answered 27, refused 76, lines left out 538
@@ -19,14 +20,14 @@
 // There were two causes. Three quarters of the processor time of a request went into
 // forwarding its events one by one, 40 of them for the requests with the fewest tokens. And
 // requests were shed by number, whatever their tokens, and were retried, until shedding took
-// the time needed for serving: a router that could serve 200 requests a second served 80. An
-// organisation must be served at least half of its demand, or of what the best served one
-// gets, over six seconds.
+// the time needed for serving: a router that could serve 200 requests a second served 80. Over
+// six seconds an organisation must be served at least half of its demand, or of what the
+// best-served organisation gets.
 func TestOrganisationAtOneSmallBox(t *testing.T) {
 	for name, c := range map[string]struct {
 		rates []float64
 		each  time.Duration
-		// all is set if no request of the last second but one may be refused.
+		// all is set if no request of the second-to-last second may be refused.
 		all bool
 	}{
 		"demand that the box can serve":      {rates: []float64{141}, each: 12 * time.Second, all: true},
@@ -65,7 +66,7 @@
 // Guards against an organisation losing its share at the same overloaded box: most of the
 // processor time goes into refusals, an eighth of it is left for serving, and in six seconds
 // the organisation is served 1.0 to 3.2 million tokens, where 3.29 million are half of what
-// the best served one gets.
+// the best-served organisation gets.
 func TestShareOfOverloadedBox(t *testing.T) {
 	runFloods(t, 0, func(t *testing.T, seed uint64, _ *box, seconds []second) { checkShares(t, seed, seconds) })
 }
@@ -141,7 +142,7 @@
 }
 
 // checkShares checks that over any six seconds the organisation is served at least half of its
-// demand, or of what the best served one gets.
+// demand, or of what the best-served organisation gets.
 func checkShares(t *testing.T, seed uint64, seconds []second) {
 	t.Helper()
 	const window = 6
--- a/internal/control/dispatch.go
+++ b/internal/control/dispatch.go
@@ -172,7 +172,7 @@
 		if !ok {
 			return nil, false
 		}
-		s.requestDequeued(p, t)
+		s.afterDequeue(p, t)
 		if p.canMeetDeadline(t, now) {
 			return t, true
 		}
@@ -215,7 +215,7 @@
 }
 
 // grantSlot grants a slot of an engine that this router owns to a router at which
-// requests of an organisation wait. Each call counts one of them as taken, also
+// requests of an organisation wait. Each call counts one of them as taken, even
 // if that router turns out to be unknown, so that the loop in dispatch ends.
 func (s *State) grantSlot(p *pool, organisation string, now time.Time) {
 	holder, ok := s.view.PickHolder(p.name, organisation)
@@ -279,7 +279,7 @@
 
 // popForGrant takes the first waiting request of the organisation for which a slot
 // was granted, or else of one that this router's policy picks. Only the latter is
-// charged here, by the amount charged: the owner charges the former.
+// charged here; charged is the amount. The owner charges the former.
 func (s *State) popForGrant(p *pool, organisation string, now time.Time) (t *request.Ticket, charged float64, ok bool) {
 	if !s.atRunningLimit(p, organisation) {
 		if t, ok = s.popRunnable(p, organisation, now); ok {
@@ -308,10 +308,10 @@
 	return o.Limits.Running > 0 && p.running[organisation] >= o.Limits.Running
 }
 
-// nextOwner returns the owners of the pool's engines round robin, separately for
-// each organisation. An owner serves an organisation at intervals that follow
-// from its share. Round robin, unlike a random choice, also asks each owner at
-// regular intervals.
+// nextOwner returns the next owner of engines of the pool in round-robin order,
+// which is kept separately for each organisation. An owner serves an organisation
+// at intervals that follow from its share. Round robin, unlike a random choice,
+// also asks each owner at regular intervals.
 func (s *State) nextOwner(p *pool, organisation string) (message.RouterID, bool) {
 	owners := s.remoteOwners[p.name]
 	if len(owners) == 0 {
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -22,23 +22,26 @@
 	"github.com/stepcroft/stepcroft/internal/standin"
 )
 
-// result is what a caller got for one request.
+// result is the result of one request, as its caller saw it. The zero value is a request without
+// an answer.
 type result struct {
 	outcome request.Outcome
 	reason  request.Reason
-	// content is the text of a whole answer; broken is set where a stream
-	// ended without its end.
+	// content is the text of the answer, concatenated if it was streamed.
 	content string
-	broken  bool
-	// firstToken and between are the times of a streamed answer.
-	firstToken time.Duration
-	between    []time.Duration
-	took       time.Duration
-	// unfinished is set where the run ended first.
+	// invalid is set if the answer is truncated or cannot be parsed.
+	invalid bool
+	// timeToFirstToken is the time from the request to the first token of a streamed answer, and
+	// tokenIntervals are the times between its tokens.
+	timeToFirstToken time.Duration
+	tokenIntervals   []time.Duration
+	// duration is the time from the request to the end of the answer.
+	duration time.Duration
+	// unfinished is set if the request was cut off by its timeout or by the end of the run.
 	unfinished bool
 }
 
-// caller makes requests the way a client program would.
+// caller sends requests as a caller's program would.
 type caller struct {
 	client *http.Client
 	fleet  *fleet
@@ -53,10 +56,10 @@
 
 func (c *caller) stop() { c.client.CloseIdleConnections() }
 
-// do makes one request and reads its answer.
+// do sends one request and reads its answer.
 func (c *caller) do(ctx context.Context, a scenario.Arrival) result {
 	start := clock.Now()
-	res, err := c.send(ctx, a)
+	res, err := c.sendWithFailover(ctx, a)
 	if err != nil {
 		return result{unfinished: ctx.Err() != nil}
 	}
@@ -68,28 +71,28 @@
 	switch {
 	case res.StatusCode != http.StatusOK:
 		_, _ = io.Copy(io.Discard, res.Body)
-	case a.Stream:
+	case a.Streamed:
 		readStream(res.Body, start, &r)
 	default:
 		readWhole(res.Body, a, &r)
 	}
-	r.took = clock.Since(start)
-	if r.broken && ctx.Err() != nil {
+	r.duration = clock.Since(start)
+	if r.invalid && ctx.Err() != nil {
 		r.unfinished = true
 	}
 	return r
 }
 
-// send sends a request to its router, and where no connection can be had or
-// the router is leaving to the next one, as clients should.
-func (c *caller) send(ctx context.Context, a scenario.Arrival) (*http.Response, error) {
+// sendWithFailover sends a request to its router. If no connection can be opened or the router is
+// shutting down, it tries the next router, as callers should.
+func (c *caller) sendWithFailover(ctx context.Context, a scenario.Arrival) (*http.Response, error) {
 	var (
 		res *http.Response
 		err error
 	)
 	for n := range c.fleet.routers {
 		var req *http.Request
-		if req, err = c.request(ctx, a, a.Router+n); err != nil {
+		if req, err = c.newRequest(ctx, a, a.RouterIndex+n); err != nil {
 			return nil, err
 		}
 		res, err = c.client.Do(req)
@@ -97,48 +100,52 @@
 			res.Body.Close()
 			continue
 		}
-		if !notDialled(err) {
+		if !isDialError(err) {
 			return res, err
 		}
 	}
 	return res, err
 }
 
-// notDialled reports whether a request failed before there was a connection.
-func notDialled(err error) bool {
-	var failed *net.OpError
-	return errors.As(err, &failed) && failed.Op == "dial"
+// isDialError reports whether a request failed because no connection could be opened, so that it
+// certainly did not run.
+func isDialError(err error) bool {
+	var opError *net.OpError
+	return errors.As(err, &opError) && opError.Op == "dial"
 }
 
-func (c *caller) request(ctx context.Context, a scenario.Arrival, index int) (*http.Request, error) {
+// newRequest builds the HTTP request for the router with the given index, modulo the number of
+// routers.
+func (c *caller) newRequest(ctx context.Context, a scenario.Arrival, index int) (*http.Request, error) {
 	router := c.fleet.routers[index%len(c.fleet.routers)]
 	url := "http://" + router.Address() + "/v1/chat/completions"
 	body := []byte(fmt.Sprintf(`{"model":%q,"stream":%t,"messages":[{"role":"user","content":%q}]}`,
-		a.Requests.Pool, a.Stream, standin.Prompt(a.Tag, a.Prompt, a.Tokens)))
-	if a.Requests.Service != "" {
-		url = "http://" + router.Address() + "/v1/services/" + a.Requests.Service + "/echo"
+		a.Group.Pool, a.Streamed, standin.Prompt(a.Tag, a.PromptTokens, a.Tokens)))
+	if a.Group.Service != "" {
+		url = "http://" + router.Address() + "/v1/services/" + a.Group.Service + "/echo"
 		body = []byte(a.Tag)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Authorization", "Bearer "+keyOf(a.Organisation))
+	req.Header.Set("Authorization", "Bearer "+apiKey(a.Organisation))
 	req.Header.Set(httpcaller.HeaderDeadline, a.Deadline.String())
-	req.Header.Set(httpcaller.HeaderRepeatable, strconv.FormatBool(!a.Requests.NotRepeatable))
-	if a.Hint > 0 {
-		req.Header.Set(httpcaller.HeaderCostHint, strconv.FormatFloat(a.Hint, 'f', 0, 64))
+	req.Header.Set(httpcaller.HeaderRepeatable, strconv.FormatBool(!a.Group.NotRepeatable))
+	if a.CostHint > 0 {
+		req.Header.Set(httpcaller.HeaderCostHint, strconv.FormatFloat(a.CostHint, 'f', 0, 64))
 	}
 	return req, nil
 }
 
+// readWhole reads an answer that is not streamed into r.
 func readWhole(body io.Reader, a scenario.Arrival, r *result) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		r.broken = true
+		r.invalid = true
 		return
 	}
-	if a.Requests.Service != "" {
+	if a.Group.Service != "" {
 		r.content = string(data)
 		return
 	}
@@ -150,18 +157,18 @@
 		} `json:"choices"`
 	}
 	if json.Unmarshal(data, &answer) != nil || len(answer.Choices) == 0 {
-		r.broken = true
+		r.invalid = true
 		return
 	}
 	r.content = answer.Choices[0].Message.Content
 }
 
-// readStream reads server-sent events up to the end marker.
+// readStream reads a stream of server-sent events, up to its end marker, into r.
 func readStream(body io.Reader, start time.Time, r *result) {
 	var content strings.Builder
 	reader := bufio.NewReader(body)
 	last := time.Time{}
-	r.broken = true
+	r.invalid = true
 	for {
 		line, err := reader.ReadSlice('\n')
 		if err != nil {
@@ -172,14 +179,14 @@
 			continue
 		}
 		if string(data) == "[DONE]" {
-			r.broken, r.outcome = false, request.Completed
+			r.invalid, r.outcome = false, request.Completed
 			break
 		}
 		now := clock.Now()
 		if last.IsZero() {
-			r.firstToken = now.Sub(start)
+			r.timeToFirstToken = now.Sub(start)
 		} else {
-			r.between = append(r.between, now.Sub(last))
+			r.tokenIntervals = append(r.tokenIntervals, now.Sub(last))
 		}
 		last = now
 		readEvent(data, &content, r)
@@ -187,6 +194,7 @@
 	r.content = content.String()
 }
 
+// readEvent adds the data of one event to content, or to r if the event reports an error.
 func readEvent(data []byte, content *strings.Builder, r *result) {
 	var event struct {
 		Choices []struct {
@@ -210,9 +218,9 @@
 	}
 }
 
-// expected returns the whole answer to a request.
-func expected(a scenario.Arrival) string {
-	if a.Requests.Service != "" {
+// expectedContent returns the content that the complete answer to a request must have.
+func expectedContent(a scenario.Arrival) string {
+	if a.Group.Service != "" {
 		return a.Tag
 	}
 	var b strings.Builder
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -1,6 +1,8 @@
-// Package load runs real routers and stand-ins on loopback under the load of a
-// scenario, and keeps a ledger of what callers asked for and what engines
-// served. It is a load generator and a ledger, no cluster simulator.
+// Package load runs a scenario as a load test: it starts real routers, and stand-ins of targets and
+// the platform, on the loopback interface, sends the scenario's requests and injects its faults.
+// What became of the requests is measured from the callers' answers and from a ledger of what the
+// targets served, not from the routers' own counters. It is a load generator, not a cluster
+// simulator: routers exchange real messages in real time.
 package load
 
 import (
@@ -20,17 +22,19 @@
 	"github.com/stepcroft/stepcroft/internal/scenario"
 )
 
-// Options are the parameters of a run.
+// Options are the parameters of a load test.
 type Options struct {
+	// Policies are the fair policies to run the scenario under. "default" leaves each pool its
+	// own, and report.Omniscient is a single router that knows the whole load.
 	Policies []string
 	Seed     uint64
-	// ViewDelay holds routers' reports back before they are used.
+	// ViewDelay delays the use of other routers' reports.
 	ViewDelay time.Duration
-	// Progress gets a line now and then; nil means none.
+	// Progress receives a line of progress every second; nil means none.
 	Progress io.Writer
 }
 
-// Run runs a scenario under each policy in turn.
+// Run runs a scenario under each policy, one after the other, with the same requests.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (report.Comparison, error) {
 	invariant.Strict()
 	arrivals := s.Plan(o.Seed)
@@ -46,7 +50,7 @@
 	return out, nil
 }
 
-// run is one scenario under one policy.
+// run is the run of a scenario under one policy.
 type run struct {
 	scenario *scenario.Scenario
 	ledger   *ledger.Ledger
@@ -54,17 +58,20 @@
 	caller   *caller
 	group    *group.Group
 
+	// mu guards tally.
 	mu    sync.Mutex
 	tally *tally
 }
 
+// runPolicy runs the scenario on a new fleet under one policy. The load ends after the scenario's
+// duration; requests that are still open are then cancelled.
 func runPolicy(ctx context.Context, s *scenario.Scenario, o Options, policy string, arrivals []scenario.Arrival) (report.PolicyResult, error) {
 	l := ledger.New(s)
-	named := policy
+	routerPolicy := policy
 	if policy == "default" {
-		named = ""
+		routerPolicy = ""
 	}
-	f, err := startFleet(s, o, named, l)
+	f, err := startFleet(s, o, routerPolicy, l)
 	if err != nil {
 		return report.PolicyResult{}, err
 	}
@@ -75,32 +82,32 @@
 	defer r.caller.stop()
 	before := f.traffic()
 	start := clock.Now()
-	r.group.GoContext(func(ctx context.Context) { r.sample(ctx, o, policy, start) })
-	r.group.GoContext(func(ctx context.Context) { r.inject(ctx, start) })
-	r.arrive(arrivals, start)
+	r.group.GoContext(func(ctx context.Context) { r.sampleLedger(ctx, o, policy, start) })
+	r.group.GoContext(func(ctx context.Context) { r.injectFaults(ctx, start) })
+	r.sendArrivals(arrivals, start)
 	group.SleepUntil(r.group.Context(), start.Add(time.Duration(s.Duration)))
 	took := clock.Since(start)
 	traffic := f.traffic().since(before)
 	measured := measure(l)
 	r.group.Stop()
-	measured.count(l)
+	measured.addFinalCounts(l)
 	return r.tally.result(policy, measured, traffic, took), ctx.Err()
 }
 
-// arrive sends each request at its time.
-func (r *run) arrive(arrivals []scenario.Arrival, start time.Time) {
+// sendArrivals starts each request at its time, without waiting for the answers of earlier ones.
+func (r *run) sendArrivals(arrivals []scenario.Arrival, start time.Time) {
 	ctx := r.group.Context()
 	for _, a := range arrivals {
 		if !group.SleepUntil(ctx, start.Add(a.At)) {
 			return
 		}
 		r.ledger.Submitted(a)
-		r.group.GoContext(func(ctx context.Context) { r.one(ctx, a) })
+		r.group.GoContext(func(ctx context.Context) { r.sendRequest(ctx, a) })
 	}
 }
 
-// one makes one request and checks its answer.
-func (r *run) one(ctx context.Context, a scenario.Arrival) {
+// sendRequest sends a request and counts its result.
+func (r *run) sendRequest(ctx context.Context, a scenario.Arrival) {
 	ctx, cancel := context.WithTimeout(ctx, a.Deadline+5*time.Second)
 	defer cancel()
 	got := r.caller.do(ctx, a)
@@ -110,8 +117,8 @@
 	r.tally.add(a, got)
 }
 
-// sample reads the ledger until the run ends.
-func (r *run) sample(ctx context.Context, o Options, policy string, start time.Time) {
+// sampleLedger takes samples of the ledger and prints progress lines until the run ends.
+func (r *run) sampleLedger(ctx context.Context, o Options, policy string, start time.Time) {
 	ticker := time.NewTicker(ledger.SampleInterval)
 	defer ticker.Stop()
 	nextLine := time.Second
@@ -132,8 +139,8 @@
 	}
 }
 
-// inject brings about the scenario's faults.
-func (r *run) inject(ctx context.Context, start time.Time) {
+// injectFaults turns the scenario's faults on and off at their times.
+func (r *run) injectFaults(ctx context.Context, start time.Time) {
 	type step struct {
 		at    time.Duration
 		fault scenario.Fault
@@ -141,9 +148,9 @@
 	}
 	var steps []step
 	for _, f := range r.scenario.Faults {
-		steps = append(steps, step{time.Duration(f.At), f, true})
-		if f.For > 0 {
-			steps = append(steps, step{time.Duration(f.At + f.For), f, false})
+		steps = append(steps, step{time.Duration(f.Start), f, true})
+		if f.Duration > 0 {
+			steps = append(steps, step{time.Duration(f.Start + f.Duration), f, false})
 		}
 	}
 	slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
@@ -151,11 +158,11 @@
 		if !group.SleepUntil(ctx, start.Add(s.at)) {
 			return
 		}
-		r.fleet.inject(r.group, s.fault, s.on)
+		r.fleet.setFault(r.group, s.fault, s.on)
 	}
 }
 
-// ended reports whether an outcome is one that callers may be told.
-func ended(o request.Outcome) bool {
+// isAnswerOutcome reports whether o is one of the outcomes that an answer to a caller may have.
+func isAnswerOutcome(o request.Outcome) bool {
 	return o == request.Completed || o == request.NotRun || o == request.Unknown
 }
--- a/internal/roster/detect.go
+++ b/internal/roster/detect.go
@@ -130,7 +130,7 @@
 	r.store(now, e, n)
 }
 
-// expireSuspects marks suspected routers as gone if they have not refuted it in time.
+// expireSuspects marks suspected routers as gone if they have not refuted the suspicion in time.
 func (r *Roster) expireSuspects(now time.Time) {
 	suspects := r.suspects
 	r.suspects = nil
@@ -156,8 +156,8 @@
 
 // pingNext pings the next router in turn. Every downPingEvery-th time it also pings the seeds
 // at whose addresses no running router is known, to join separate groups of routers that know
-// only one another. While this router is isolated, it pings the seeds every time, since all
-// the routers that it knows may be gone for good.
+// only one another. If it knows no router to ping, or this router is isolated, it pings the seeds
+// every time, since all the routers that it knows may be gone for good.
 func (r *Roster) pingNext(now time.Time) []Outgoing {
 	r.forget(now)
 	r.pingCount++
@@ -225,16 +225,16 @@
 
 // randomDown returns a random router that does not count as running, nil if there is none.
 func (r *Roster) randomDown(now time.Time) *entry {
-	var lost []*entry
+	var down []*entry
 	for _, e := range r.peerList {
 		if !r.countsAsRunning(now, e) {
-			lost = append(lost, e)
+			down = append(down, e)
 		}
 	}
-	if len(lost) == 0 {
+	if len(down) == 0 {
 		return nil
 	}
-	return lost[r.random.IntN(len(lost))]
+	return down[r.random.IntN(len(down))]
 }
 
 // forget removes routers that have been gone for goneTTL and are not listed.
--- a/internal/standin/engineorders.go
+++ b/internal/standin/engineorders.go
@@ -9,15 +9,14 @@
 	"github.com/stepcroft/stepcroft/internal/port"
 )
 
-// Orders returns the orders that took effect, in order.
+// Orders returns the orders that the engine accepted, oldest first.
 func (e *Engine) Orders() []port.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]port.Order(nil), e.orders...)
 }
 
-// serveOrder carries an order out, unless the engine checks epochs and has
-// seen a higher one.
+// serveOrder accepts an order, unless the engine checks epochs and has received a higher one.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o port.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -26,41 +25,42 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.options.ChecksEpoch && o.Epoch < e.epoch {
+	if e.options.CheckEpoch && o.Epoch < e.highestEpoch {
 		http.Error(w, "a higher epoch was seen", http.StatusConflict)
 		return
 	}
-	e.epoch = max(e.epoch, o.Epoch)
+	e.highestEpoch = max(e.highestEpoch, o.Epoch)
 	e.orders = append(e.orders, o)
 	writeJSON(w, http.StatusOK, o)
 }
 
-// exported is what the stand-in exports as the KV cache of a broken answer.
-type exported struct {
+// kvExport stands for the exported KV cache of a broken answer. It holds what another stand-in
+// needs to continue the answer.
+type kvExport struct {
 	Content string `json:"content"`
 	Events  int    `json:"events"`
 }
 
-// serveKV exports the KV cache of a broken answer, or imports one, after
-// which this engine can continue the answer.
+// serveKV exports the KV cache of a broken answer (GET) or imports one (PUT), after which this
+// engine can continue the answer.
 func (e *Engine) serveKV(w http.ResponseWriter, r *http.Request) {
 	id := strings.TrimPrefix(r.URL.Path, engine.PathKV)
 	if r.Method == http.MethodPut {
-		var x exported
+		var x kvExport
 		if err := json.NewDecoder(r.Body).Decode(&x); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		e.breakOff(id, parseJob(x.Content), x.Events)
+		e.storeBrokenAnswer(id, parseJob(x.Content), x.Events)
 		w.WriteHeader(http.StatusOK)
 		return
 	}
 	e.mu.Lock()
-	b, ok := e.broken[id]
+	b, ok := e.brokenAnswers[id]
 	e.mu.Unlock()
 	if !ok {
 		http.Error(w, "no such answer", http.StatusNotFound)
 		return
 	}
-	writeJSON(w, http.StatusOK, exported{Prompt(b.job.tag, b.job.prompt, b.job.tokens), b.events})
+	writeJSON(w, http.StatusOK, kvExport{Prompt(b.job.tag, b.job.promptTokens, b.job.tokens), b.events})
 }
--- a/internal/standin/enginequeue.go
+++ b/internal/standin/enginequeue.go
@@ -12,11 +12,16 @@
 // waiter is a request that waits inside the engine for a slot.
 type waiter struct {
 	priority int
+	// sequence is the order of arrival among the waiters of a priority.
 	sequence int
-	index    int
-	turn     chan struct{}
+	// index is the position in the heap, or -1 if the waiter has left it.
+	index int
+	// slotGranted is closed when the waiter gets a slot.
+	slotGranted chan struct{}
 }
 
+// waiters is a heap of waiters, the highest priority first and within a priority in order of
+// arrival.
 type waiters []*waiter
 
 func (q waiters) Len() int { return len(q) }
@@ -47,7 +52,7 @@
 	return w
 }
 
-// acquire waits for a slot; it returns false if the caller went away.
+// acquire waits for a slot. It returns false if the caller disconnected first.
 func (e *Engine) acquire(w http.ResponseWriter, priority int) bool {
 	e.mu.Lock()
 	if e.running < e.options.Slots {
@@ -55,36 +60,37 @@
 		e.mu.Unlock()
 		return true
 	}
-	e.next++
-	me := &waiter{priority: priority, sequence: e.next, turn: make(chan struct{})}
-	heap.Push(&e.queue, me)
+	e.lastSequence++
+	queued := &waiter{priority: priority, sequence: e.lastSequence, slotGranted: make(chan struct{})}
+	heap.Push(&e.queue, queued)
 	e.mu.Unlock()
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-me.turn:
+		case <-queued.slotGranted:
 			return true
 		case <-ticker.C:
-			if httpserver.CallerDisconnected(w) && e.abandon(me) {
+			if httpserver.CallerDisconnected(w) && e.removeWaiter(queued) {
 				return false
 			}
 		}
 	}
 }
 
-// abandon takes a waiter out of the queue; it returns false if the waiter
-// has a slot already.
-func (e *Engine) abandon(me *waiter) bool {
+// removeWaiter removes a waiter from the queue. It returns false if the waiter has got a slot
+// already.
+func (e *Engine) removeWaiter(queued *waiter) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if me.index < 0 {
+	if queued.index < 0 {
 		return false
 	}
-	heap.Remove(&e.queue, me.index)
+	heap.Remove(&e.queue, queued.index)
 	return true
 }
 
+// release frees a slot, or passes it to the first waiter.
 func (e *Engine) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,11 +98,11 @@
 		e.running--
 		return
 	}
-	close(heap.Pop(&e.queue).(*waiter).turn)
+	close(heap.Pop(&e.queue).(*waiter).slotGranted)
 }
 
-// Drained waits until the engine runs nothing.
-func (e *Engine) Drained(ctx context.Context) error {
+// WaitIdle waits until no request runs or waits in the engine, or until ctx is done.
+func (e *Engine) WaitIdle(ctx context.Context) error {
 	for {
 		e.mu.Lock()
 		busy := e.running + len(e.queue)
