--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -24,14 +24,14 @@
 	failureRate     float64
 	suspectDuration time.Duration
 	suspectedUntil  time.Time
-	// lastProgress is when the target last started to answer or ended a request.
+	// lastProgress is when the target last started or completed an answer.
 	lastProgress time.Time
 }
 
 func (h *health) suspected(now time.Time) bool { return now.Before(h.suspectedUntil) }
 
-// record updates the health with the result of a request.
-func (h *health) record(now time.Time, how Result) {
+// recordResult updates the health with the result of a request.
+func (h *health) recordResult(now time.Time, how Result) {
 	switch how {
 	case Answered:
 		h.failureRate *= 1 - failureWeight
