--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -44,7 +44,7 @@
 	Version  kong.VersionFlag `help:"Print the version and exit."`
 	Demo     demoCommand      `cmd:"" help:"Run a small fleet with stand-ins on this machine for 20 s and print its results."`
 	Route    routeCommand     `cmd:"" help:"Run one router."`
-	Serve    serveCommand     `cmd:"" help:"Run one router on the platform, with the settings file that STEPCROFT_CONFIG names."`
+	Serve    serveCommand     `cmd:"" help:"Run one router on the platform that the environment variables name."`
 	Load     loadCommand      `cmd:"" help:"Run a scenario with real routers and stand-ins on loopback, under one or several policies."`
 	Latency  latencyCommand   `cmd:"" help:"Compare the latency of requests through a router with that of requests sent to its engine directly."`
 	Standin  standinCommand   `cmd:"" help:"Run a stand-in for the platform, an engine or a plain service."`
