--- a/internal/balance/loop.go
+++ b/internal/balance/loop.go
@@ -13,8 +13,8 @@
 const (
 	// eventBuffer is the number of events that may be queued for the control goroutine.
 	eventBuffer = 1024
-	// tickInterval is the interval of Tick, and thus the most by which requests that waited
-	// long enough are refused late.
+	// tickInterval is the interval between calls of Tick, and so the longest time by which a
+	// waiting request is refused too late.
 	tickInterval = 20 * time.Millisecond
 	// meterTicks is the number of ticks between two measurements of processor use. If these
 	// ticks take longer than lateTicks tick intervals, the process itself waits for the
@@ -68,10 +68,10 @@
 	m.lastAt, m.lastUsed = now, used
 }
 
-// SetMeter makes the loop measure how much of a number of cores the router uses; used returns
-// the processor time used since the start. It must be called before Run.
-func (l *Loop) SetMeter(used func() time.Duration, cores float64) {
-	l.meter.cpuTime, l.meter.cores = used, cores
+// SetMeter makes the loop measure how much of a number of cores the router uses; cpuTime
+// returns the processor time used since the start. It must be called before Run.
+func (l *Loop) SetMeter(cpuTime func() time.Duration, cores float64) {
+	l.meter.cpuTime, l.meter.cores = cpuTime, cores
 }
 
 // OnResume sets a function that is called, like an event, when the box resumes after it was
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// backlogPercent bounds an engine's backlog, in time to read it and over all routers, to
-	// this part of the shortest goal of the service's routes. Later requests must still be
+	// backlogPercent bounds the time that an engine takes to read its backlog from all routers,
+	// in percent of the shortest goal of the service's routes. Later requests must still be
 	// able to start in time.
 	backlogPercent = 35
-	// shareTolerance is the ratio to its share up to which an organisation counts as within
-	// it. Shares are counted over seconds, of which the last half is known late, and requests
-	// come in bursts. Beyond, the backlog that the organisation may fill shrinks in
-	// proportion, to leave room to others.
+	// shareTolerance is how many times its share an organisation may be served and still count
+	// as within it. Shares are counted over some seconds, the last half of which is known late,
+	// and requests come in bursts. Beyond, the backlog that the organisation may fill shrinks
+	// in proportion, to leave room to others.
 	shareTolerance = 1.5
 	// minRoomPercent is the part of the allowed backlog that stays open to every organisation.
 	minRoomPercent = 25
@@ -57,7 +57,7 @@
 // the backlog: otherwise a long one would never find room beside short ones that keep the
 // engine reading.
 func (r room) admits(p placement, m *pace.Model) bool {
-	if r.timely && p.safe <= r.remaining {
+	if r.timely && p.conservative <= r.remaining {
 		return true
 	}
 	return m.PrefillTime(p.work.Ahead)+min(m.PrefillTime(p.uncachedTokens), r.maxBacklog/2) <= r.maxBacklog
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -14,73 +14,73 @@
 // explainCommand is "stepcroft explain".
 type explainCommand struct {
 	ID     string   `help:"The request's id." required:""`
-	Output string   `help:"text or json." short:"o" enum:"text,json" default:"text"`
-	Files  []string `arg:"" help:"Routers' logs, plain or gzip; - for standard input, which is read once: requests beside this one are not counted then."`
+	Output string   `help:"Output format: text or json." short:"o" enum:"text,json" default:"text"`
+	Files  []string `arg:"" help:"Routers' logs, plain or compressed with gzip; - for standard input. Standard input is read only once, so other requests in it are not counted for comparison."`
 }
 
 const (
-	// progressEvery is the number of bytes after which progress is shown.
-	progressEvery = 64 << 20
-	// badShown is how many lines that cannot be read are shown.
-	badShown = 10
+	// progressIntervalBytes is how many bytes are read between two lines of progress.
+	progressIntervalBytes = 64 << 20
+	// maxBadLinesShown bounds the number of malformed lines that are reported one by one.
+	maxBadLinesShown = 10
 )
 
-// progress shows how much was read.
-type progress struct {
+// progressReader is a reader that writes to out how much was read.
+type progressReader struct {
 	io.Reader
-	out         io.Writer
-	read, shown int64
+	out                  io.Writer
+	bytesRead, lastShown int64
 }
 
-func (p *progress) Read(b []byte) (int, error) {
+func (p *progressReader) Read(b []byte) (int, error) {
 	n, err := p.Reader.Read(b)
-	p.read += int64(n)
-	if p.read-p.shown >= progressEvery {
-		p.shown = p.read
-		fmt.Fprintf(p.out, "%d MB read\n", p.read>>20)
+	p.bytesRead += int64(n)
+	if p.bytesRead-p.lastShown >= progressIntervalBytes {
+		p.lastShown = p.bytesRead
+		fmt.Fprintf(p.out, "%d MB read\n", p.bytesRead>>20)
 	}
 	return n, err
 }
 
-// Run tells the story of a request.
+// Run explains what happened to a request.
 func (c *explainCommand) Run(s streams) error {
-	story := explain.New(c.ID)
+	timeline := explain.New(c.ID)
 	bad := 0
-	failed := c.read(s, story.Add, func(b explain.Bad) {
-		if bad++; bad <= badShown {
-			fmt.Fprintf(s.err, "%s, line %d: %v\n", b.File, b.Number, b.Cause)
+	failed := c.read(s, timeline.Add, func(b explain.BadLine) {
+		if bad++; bad <= maxBadLinesShown {
+			fmt.Fprintf(s.err, "%s, line %d: %v\n", b.File, b.Number, b.Err)
 		}
 	}, false)
-	if bad > badShown {
-		fmt.Fprintf(s.err, "%d lines cannot be read\n", bad)
+	if bad > maxBadLinesShown {
+		fmt.Fprintf(s.err, "%d lines could not be parsed\n", bad)
 	}
-	story.Sort()
-	// What cannot be read was told the first time.
-	if err := c.read(s, story.AddNeighbour, func(explain.Bad) {}, true); failed == nil {
+	timeline.Sort()
+	// The first pass reported the lines and files that cannot be read.
+	if err := c.read(s, timeline.AddNeighbour, func(explain.BadLine) {}, true); failed == nil {
 		failed = err
 	}
 	if c.Output == "json" {
-		if err := json.NewEncoder(s.out).Encode(story.Tell()); err != nil {
-			return errors.Wrap(err, "write story")
+		if err := json.NewEncoder(s.out).Encode(timeline.Explain()); err != nil {
+			return errors.Wrap(err, "write explanation")
 		}
 		return failed
 	}
-	for _, l := range story.Tell().Text() {
+	for _, l := range timeline.Explain().Text() {
 		fmt.Fprintln(s.out, l)
 	}
 	return failed
 }
 
-// read reads all files; again leaves out what can be read only once. A file that fails does
-// not keep the others from being read.
-func (c *explainCommand) read(s streams, f func(explain.Line), bad func(explain.Bad), again bool) error {
+// read passes the lines of all files to f, and goes on with the next file if one fails. The second
+// pass skips standard input, which can be read only once, and does not report errors again.
+func (c *explainCommand) read(s streams, f func(explain.Line), bad func(explain.BadLine), secondPass bool) error {
 	var failed error
 	for _, name := range c.Files {
-		if name == "-" && again {
+		if name == "-" && secondPass {
 			continue
 		}
 		if err := readFile(s, name, f, bad); err != nil {
-			if !again {
+			if !secondPass {
 				fmt.Fprintln(s.err, "stepcroft:", err)
 			}
 			failed = err
@@ -89,14 +89,14 @@
 	return failed
 }
 
-func readFile(s streams, name string, f func(explain.Line), bad func(explain.Bad)) error {
+func readFile(s streams, name string, f func(explain.Line), bad func(explain.BadLine)) error {
 	if name == "-" {
-		return explain.Read(&progress{Reader: os.Stdin, out: s.err}, "standard input", f, bad)
+		return explain.Read(&progressReader{Reader: os.Stdin, out: s.err}, "standard input", f, bad)
 	}
 	file, err := os.Open(name)
 	if err != nil {
 		return errors.Wrap(err, "open log")
 	}
 	defer file.Close()
-	return explain.Read(&progress{Reader: file, out: s.err}, name, f, bad)
+	return explain.Read(&progressReader{Reader: file, out: s.err}, name, f, bad)
 }
--- a/internal/forward/advice.go
+++ b/internal/forward/advice.go
@@ -20,8 +20,8 @@
 	// AdviceLeaving means that the target is leaving: it shuts down in a planned way.
 	AdviceLeaving Advice = "leaving"
 	// AdviceBackoff means that the target asked this router to back off (503 with
-	// Retry-After). AdviceRestBounded means that the requested backoff exceeded
-	// advice.RestMost and was capped.
+	// Retry-After). AdviceBackoffCapped means that the requested backoff exceeded
+	// advice.MaxBackoff and was capped.
 	AdviceBackoff       Advice = "rest"
 	AdviceBackoffCapped Advice = "rest-bounded"
 )
@@ -40,7 +40,7 @@
 	}
 }
 
-// reportLeaving tells the control thread that a target is leaving.
+// reportLeaving tells the control goroutine that a target is leaving.
 func (x *inflight) reportLeaving(to balance.Target) {
 	t := x.ticket
 	x.loop.Post(func(s *balance.State, now time.Time) {
@@ -51,7 +51,7 @@
 	})
 }
 
-// reportBackoff tells the control thread that a target asked for a backoff of d.
+// reportBackoff tells the control goroutine that a target asked for a backoff of d.
 func (x *inflight) reportBackoff(to balance.Target, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/forward/suspects.go
+++ b/internal/forward/suspects.go
@@ -58,11 +58,11 @@
 		return false
 	}
 	now, k := clock.Now(), x.key()
-	left := v.Held(now, k)
+	left := v.RejectedFor(now, k)
 	if left == 0 && x.maySendSuspect(ctx, v.Crashes(k)) {
 		return false
 	}
-	if v.Stale(now, k) {
+	if v.LastSeenStale(now, k) {
 		x.suspects.RecordSeen(k)
 	}
 	x.result.ContentDigest = k.String()
@@ -73,16 +73,16 @@
 	return true
 }
 
-// trialRetryAfter is the Retry-After of a quarantined request that may be sent on trial, but not
-// now or not by this router.
+// trialRetryAfter is the Retry-After of a quarantined request that may be sent on trial, but
+// not now or not by this router.
 const trialRetryAfter = 5 * time.Second
 
 // maySendSuspect reports whether the request may be sent although targets have crashed while
 // running it. From a certain number of crashes on it may be sent only on trial, by one router
 // at a time.
 func (x *inflight) maySendSuspect(ctx context.Context, crashes int) bool {
-	if !quarantine.Holds(crashes) || x.onTrial {
-		x.onTrial = !quarantine.MayRepeat(crashes)
+	if !quarantine.HeldBack(crashes) || x.onTrial {
+		x.onTrial = !quarantine.MayRetry(crashes)
 		return true
 	}
 	x.onTrial = x.suspects.StartTrial(ctx, x.key(), x.deadline)
@@ -92,19 +92,19 @@
 // reportBreak reports a broken-off answer or a silent target to the suspects. It returns true if
 // so many targets have exited while running the request that the router must not retry it.
 func (x *inflight) reportBreak(ctx context.Context, to balance.Target, f *failure) bool {
-	ended := false
+	exited := false
 	switch f.reason {
 	case ReasonRestarted:
-		ended = true
+		exited = true
 	case ReasonBroken:
-		ended = x.sender.ProcessExited(ctx, to.Address, to.Incarnation())
+		exited = x.sender.ProcessExited(ctx, to.Address, to.Incarnation())
 	case ReasonSilent:
 		// The process may have exited; that is found out later.
 	default:
 		return false
 	}
-	crashes := x.suspects.RecordBreak(ctx, Break{Key: x.key(), Organisation: x.Organisation, Target: to, TargetExited: ended, OnTrial: x.onTrial})
-	return !quarantine.MayRepeat(crashes)
+	crashes := x.suspects.RecordBreak(ctx, Break{Key: x.key(), Organisation: x.Organisation, Target: to, TargetExited: exited, OnTrial: x.onTrial})
+	return !quarantine.MayRetry(crashes)
 }
 
 // clearSuspicion clears the suspicion against a request that a target has run to its end.
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -14,18 +14,18 @@
 	"github.com/stepcroft/stepcroft/internal/forward"
 )
 
-// startAgain puts another incarnation of the first target in force.
-func (r *rig) startAgain(born int64, address string) {
+// restart replaces the entry of the first target by one of a new process.
+func (r *rig) restart(born int64, address string) {
 	r.revision++
 	t := balance.Target{ID: r.targets[0].Name, Service: "s", Address: address, Zone: "z", Slots: 4, Born: born}
 	r.targets[0] = stored(r.revision, t)
 	r.SetTargets(r.revision, r.targets)
 }
 
-var _ = Describe("A target that starts again under its id", func() {
-	// mute is a target that takes requests and falls silent, after the first two
-	// events of a stream.
-	mute := func(began chan<- struct{}) func(net.Conn) {
+var _ = Describe("A target that restarts under its id", func() {
+	// stallingStream returns a target's connection handler that sends the first two events of a
+	// stream and then nothing more.
+	stallingStream := func(began chan<- struct{}) func(net.Conn) {
 		return func(c net.Conn) {
 			buffer := make([]byte, 4096)
 			if _, err := c.Read(buffer); err != nil {
@@ -41,31 +41,32 @@
 		}
 	}
 
-	It("has ended what ran there: a stream that may be resumed goes on elsewhere at once", func() {
+	It("has a resumable stream resumed at another target at once", func() {
 		r := newRig()
 		r.configure(spec(1))
 		began := make(chan struct{}, 1)
-		r.raw("a", mute(began))
+		r.serveConns("a", stallingStream(began))
 		got := make(chan reply, 1)
 		background(func() { got <- r.post("/stream/x") })
 		Eventually(began).Should(Receive())
 		r.serve("b", streamer(5, 5, 0))
-		r.startAgain(2, "127.0.0.1:1")
+		r.restart(2, "127.0.0.1:1")
 		var answer reply
 		Eventually(got).WithTimeout(4 * time.Second).Should(Receive(&answer))
 		Expect(answer.Err).NotTo(HaveOccurred())
-		Expect(answer.Body).To(Equal(whole(5)))
-		// Not after the time for which a target may be silent.
-		figures := httptest.NewRecorder()
-		r.metrics.ServeHTTP(figures, nil)
-		Expect(figures.Body.String()).To(ContainSubstring(`"retries": {"target-restarted": 1`))
+		Expect(answer.Body).To(Equal(fullStream(5)))
+		// The stream was resumed because of the restart, not after the longest pause between
+		// events.
+		metrics := httptest.NewRecorder()
+		r.metrics.ServeHTTP(metrics, nil)
+		Expect(metrics.Body.String()).To(ContainSubstring(`"retries": {"target-restarted": 1`))
 	})
 
-	It("has ended what ran there: what may run once only is told truly", func() {
+	It("fails a request that may run only once, with the restart as the reason", func() {
 		r := newRig()
 		r.configure(spec(1))
 		began := make(chan struct{}, 1)
-		r.raw("a", func(c net.Conn) {
+		r.serveConns("a", func(c net.Conn) {
 			buffer := make([]byte, 4096)
 			if _, err := c.Read(buffer); err == nil {
 				began <- struct{}{}
@@ -76,10 +77,10 @@
 		background(func() { got <- r.post("/once/x") })
 		Eventually(began).Should(Receive())
 		r.serve("b", answer)
-		r.startAgain(2, "127.0.0.1:1")
-		var told reply
-		Eventually(got).WithTimeout(4 * time.Second).Should(Receive(&told))
-		Expect(told.Status).To(Equal(http.StatusBadGateway))
-		Expect(told.Body).To(ContainSubstring(string(forward.ReasonRestarted)))
+		r.restart(2, "127.0.0.1:1")
+		var rejected reply
+		Eventually(got).WithTimeout(4 * time.Second).Should(Receive(&rejected))
+		Expect(rejected.Status).To(Equal(http.StatusBadGateway))
+		Expect(rejected.Body).To(ContainSubstring(string(forward.ReasonRestarted)))
 	})
 })
--- a/internal/load/fleet.go
+++ b/internal/load/fleet.go
@@ -18,21 +18,27 @@
 	"github.com/stepcroft/stepcroft/internal/standin"
 )
 
+// loopback is the address to listen on: a free port of the loopback interface.
 const loopback = "127.0.0.1:0"
 
-// fleet is the stand-ins and routers of one run.
+// fleet holds the stand-ins and routers of one run.
 type fleet struct {
 	platform *standin.Platform
+	// engines are the engines by name.
 	engines  map[string]*standin.Engine
 	services []*standin.Service
 	routers  []*router.Router
-	clients  []*platform.Client
-	stopped  map[int]bool
+	// platformClients are the routers' clients of the platform.
+	platformClients []*platform.Client
+	// stopped holds the indexes of the routers that a fault stopped.
+	stopped map[int]bool
 }
 
-// keyOf returns an organisation's API key in a run.
-func keyOf(organisation string) string { return "key-of-" + organisation }
+// apiKey returns the API key of an organisation.
+func apiKey(organisation string) string { return "key-of-" + organisation }
 
+// startFleet starts the stand-ins and routers of a scenario. An empty policy leaves each pool its
+// own.
 func startFleet(s *scenario.Scenario, o Options, policy string, l *ledger.Ledger) (*fleet, error) {
 	f := &fleet{engines: map[string]*standin.Engine{}, stopped: map[int]bool{}}
 	if err := f.start(s, o, policy, l); err != nil {
@@ -53,7 +59,7 @@
 	if err := f.startServices(s, l); err != nil {
 		return err
 	}
-	if err := f.seed(s); err != nil {
+	if err := f.seedObjects(s); err != nil {
 		return err
 	}
 	return f.startRouters(s, o, policy)
@@ -104,7 +110,8 @@
 	return nil
 }
 
-func (f *fleet) seed(s *scenario.Scenario) error {
+// seedObjects writes the scenario's pools and organisations to the platform.
+func (f *fleet) seedObjects(s *scenario.Scenario) error {
 	for _, p := range s.Pools {
 		spec := config.Pool{Name: p.Name, Policy: p.Policy, PromptCost: p.PromptCost}
 		if spec.Policy == "" {
@@ -117,7 +124,7 @@
 	for _, o := range s.Organisations {
 		spec := config.Organisation{
 			Name: o.Name, Weight: o.Weight, Priority: o.Priority, Limits: o.Limits,
-			Keys: []string{config.HashKey(keyOf(o.Name))},
+			Keys: []string{config.HashKey(apiKey(o.Name))},
 		}
 		if err := f.platform.Seed(config.KindOrganisation, o.Name, spec); err != nil {
 			return err
@@ -126,6 +133,8 @@
 	return nil
 }
 
+// startRouters starts the routers. For report.Omniscient it starts a single router, which knows the
+// whole load, with the policy "local".
 func (f *fleet) startRouters(s *scenario.Scenario, o Options, policy string) error {
 	n := s.Routers
 	if policy == report.Omniscient {
@@ -133,7 +142,7 @@
 	}
 	for i := range n {
 		client := platform.New(f.platform.Address())
-		f.clients = append(f.clients, client)
+		f.platformClients = append(f.platformClients, client)
 		name := fmt.Sprintf("r%d", i+1)
 		zone := s.Zones[i%len(s.Zones)]
 		r, err := router.New(router.Options{
@@ -152,20 +161,20 @@
 			return err
 		}
 	}
-	return f.settle(n)
+	return f.waitReady(n)
 }
 
-// settle waits until every router knows all the others.
-func (f *fleet) settle(n int) error {
+// waitReady waits until each of the n routers knows all the others and every engine has an owner.
+func (f *fleet) waitReady(n int) error {
 	deadline := clock.Now().Add(20 * time.Second)
 	for _, r := range f.routers {
 		for {
 			status := r.Status()
-			if status.Routers == n && status.ViewAge < time.Minute && f.owned() == len(f.engines) {
+			if status.Routers == n && status.ViewAge < time.Minute && f.ownedEngines() == len(f.engines) {
 				break
 			}
 			if clock.Now().After(deadline) {
-				return errors.Errorf("routers did not find one another: %+v", status)
+				return errors.Errorf("routers did not discover one another and all engines in time; status of one: %+v", status)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -173,7 +182,8 @@
 	return nil
 }
 
-func (f *fleet) owned() int {
+// ownedEngines returns the number of engines that routers own.
+func (f *fleet) ownedEngines() int {
 	n := 0
 	for _, r := range f.routers {
 		n += r.Status().OwnedEngines
@@ -181,14 +191,14 @@
 	return n
 }
 
-// stop ends everything that was started.
+// stop stops all routers, clients and stand-ins that are still running.
 func (f *fleet) stop() {
 	for i, r := range f.routers {
 		if !f.stopped[i] {
 			r.Stop()
 		}
 	}
-	for _, c := range f.clients {
+	for _, c := range f.platformClients {
 		c.Stop()
 	}
 	for _, e := range f.engines {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -86,7 +86,7 @@
 	client := platform.New(s.platform.Address())
 	r, err := router.New(router.Options{
 		ID: id, Listen: loopback, PeerListen: loopback, Platform: client, Seed: 1, Log: logr.Discard(),
-		ReportPeriod: 100 * time.Millisecond, Timeout: time.Second,
+		ReportPeriod: 100 * time.Millisecond, RouterTimeout: time.Second,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	s.seed(config.KindBox, id, config.Box{
@@ -146,7 +146,7 @@
 	detail             string
 }
 
-var badRequests = map[string]badRequest{
+var badRequestCases = map[string]badRequest{
 	"no JSON":          {"POST", "/v1/chat/completions", "{", nil, request.ReasonBadRequest, "not the JSON"},
 	"no model":         {"POST", "/v1/chat/completions", "{}", nil, request.ReasonBadRequest, "field model"},
 	"no messages":      {"POST", "/v1/chat/completions", `{"model":"chat"}`, nil, request.ReasonBadRequest, "field messages"},
@@ -185,7 +185,7 @@
 		}
 	})
 
-	for name, c := range badRequests {
+	for name, c := range badRequestCases {
 		It("refuses with a reason, a detail and whether the request ran: "+name, func() {
 			a := s.do(s.routers[0], c.method, c.path, c.body, c.header...)
 			Expect(a.reason).To(Equal(c.reason), a.body)
@@ -239,7 +239,7 @@
 	})
 
 	It("resumes a broken answer on an engine that can, even if the request may not be repeated", func() {
-		s.engine.SetFaults(standin.Faults{BreakAfter: 3})
+		s.engine.SetFaults(standin.Faults{BreakAfterTokens: 3})
 		defer s.engine.SetFaults(standin.Faults{})
 		for _, stream := range []bool{true, false} {
 			a := s.do(s.routers[0], "POST", "/v1/chat/completions", chat("r", 8, stream), httpcaller.HeaderRepeatable, "false")
@@ -251,7 +251,7 @@
 	})
 
 	It("restarts an answer that is not streamed when it retries the request", func() {
-		s.engine.SetFaults(standin.Faults{BreakAfter: 3, ForgetBroken: true})
+		s.engine.SetFaults(standin.Faults{BreakAfterTokens: 3, ForgetBroken: true})
 		answered := make(chan answer, 1)
 		g := group.New(context.Background())
 		g.Go(func() {
@@ -260,7 +260,7 @@
 		})
 		Eventually(func() int64 {
 			retried := int64(0)
-			s.routers[0].Metrics().Retries(func(r request.Reason, n int64) {
+			s.routers[0].Metrics().EachRetry(func(r request.Reason, n int64) {
 				if r == request.RetryBroken {
 					retried = n
 				}
@@ -276,7 +276,7 @@
 	})
 
 	It("ends a broken stream so that no client takes it for complete", func() {
-		s.engine.SetFaults(standin.Faults{BreakAfter: 2, ForgetBroken: true})
+		s.engine.SetFaults(standin.Faults{BreakAfterTokens: 2, ForgetBroken: true})
 		defer s.engine.SetFaults(standin.Faults{})
 		a := s.do(s.routers[0], "POST", "/v1/chat/completions", chat("b", 9, true))
 		Expect(a.body).NotTo(ContainSubstring("[DONE]"))
@@ -391,7 +391,7 @@
 		before.Stop()
 		r, err := router.New(router.Options{
 			ID: "r2", Listen: before.Address(), PeerListen: before.Self().Peer, Platform: client, Seed: 1,
-			Log: logr.Discard(), ReportPeriod: 100 * time.Millisecond, Timeout: time.Second,
+			Log: logr.Discard(), ReportPeriod: 100 * time.Millisecond, RouterTimeout: time.Second,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		s.routers[1] = r
@@ -443,7 +443,7 @@
 
 	It("counts refusals by reason", func() {
 		var out bytes.Buffer
-		s.routers[0].Metrics().Refusals(func(r request.Reason, n int64) { fmt.Fprintln(&out, r, n) })
+		s.routers[0].Metrics().EachRefusal(func(r request.Reason, n int64) { fmt.Fprintln(&out, r, n) })
 		Expect(out.String()).To(ContainSubstring("bad-request"))
 		Expect(invariant.Total()).To(BeZero())
 	})
